--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -2,8 +2,8 @@
 
 import hookweir.Contract;
 import hookweir.Policy;
-import hookweir.net.egress.LoadReport;
-import hookweir.net.ingress.Framing;
+import hookweir.net.server.Framing;
+import hookweir.net.worker.LoadReport;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -3,8 +3,8 @@
 import hookweir.Contract;
 import hookweir.config.SettingsMapping;
 import hookweir.net.admin.Figures;
-import hookweir.net.egress.LoadReport;
-import hookweir.net.ingress.RequestParser;
+import hookweir.net.server.RequestParser;
+import hookweir.net.worker.LoadReport;
 import hookweir.room.Room;
 import java.util.List;
 
--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -2,8 +2,8 @@
 
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.egress.Egress;
-import hookweir.net.egress.WorkerEndpoint;
+import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerEndpoint;
 import hookweir.timer.TimerWheel;
 
 /**
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -3,8 +3,8 @@
 import hookweir.Contract;
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.egress.Egress;
-import hookweir.net.egress.WorkerEndpoint;
+import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerEndpoint;
 
 /** Sends attempts to workers, cancels them, and tells the decision module how each ended. Belongs to the {@link Loop}. */
 final class AttemptSender {
--- a/node/src/main/java/hookweir/net/Errand.java
+++ b/node/src/main/java/hookweir/net/Errand.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.Contract.Outcome;
-import hookweir.net.egress.Egress;
-import hookweir.net.egress.WorkerEndpoint;
+import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerEndpoint;
 import hookweir.timer.TimerWheel;
 import java.io.ByteArrayOutputStream;
 
--- a/node/src/main/java/hookweir/net/HeldRequests.java
+++ b/node/src/main/java/hookweir/net/HeldRequests.java
@@ -1,7 +1,7 @@
 package hookweir.net;
 
 import hookweir.net.admin.Figures;
-import hookweir.net.ingress.Ingress;
+import hookweir.net.server.Ingress;
 import hookweir.room.Room;
 import java.util.HashMap;
 import java.util.Locale;
--- a/node/src/main/java/hookweir/net/JobIntake.java
+++ b/node/src/main/java/hookweir/net/JobIntake.java
@@ -2,10 +2,10 @@
 
 import hookweir.Contract;
 import hookweir.net.admin.Figures;
-import hookweir.net.ingress.Ingress;
-import hookweir.net.ingress.IngressConnection;
-import hookweir.net.ingress.IngressRequest;
-import hookweir.net.ingress.RequestParser;
+import hookweir.net.server.Ingress;
+import hookweir.net.server.IngressConnection;
+import hookweir.net.server.IngressRequest;
+import hookweir.net.server.RequestParser;
 import hookweir.room.Room;
 import java.nio.charset.StandardCharsets;
 
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -7,7 +7,7 @@
 import hookweir.membership.ListLease;
 import hookweir.net.discovery.Discovery;
 import hookweir.net.discovery.ListUpdate;
-import hookweir.net.egress.Egress;
+import hookweir.net.worker.Egress;
 import hookweir.timer.TimerWheel;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/node/src/main/java/hookweir/net/PendingRequest.java
+++ b/node/src/main/java/hookweir/net/PendingRequest.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.Contract;
-import hookweir.net.ingress.IngressConnection;
-import hookweir.net.ingress.IngressRequest;
+import hookweir.net.server.IngressConnection;
+import hookweir.net.server.IngressRequest;
 import hookweir.timer.TimerWheel;
 import java.util.ArrayList;
 import java.util.List;
--- a/node/src/main/java/hookweir/net/Prober.java
+++ b/node/src/main/java/hookweir/net/Prober.java
@@ -3,8 +3,8 @@
 import hookweir.Contract;
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.egress.Egress;
-import hookweir.net.egress.WorkerEndpoint;
+import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerEndpoint;
 
 /** Probes workers for the decision module: a health check, or a call for a load report. Belongs to the {@link Loop}. */
 final class Prober {
--- a/node/src/main/java/hookweir/net/ProcessShare.java
+++ b/node/src/main/java/hookweir/net/ProcessShare.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
 import hookweir.config.Config;
-import hookweir.net.egress.Egress;
-import hookweir.net.ingress.Ingress;
+import hookweir.net.server.Ingress;
 import hookweir.net.upgrade.Succession;
+import hookweir.net.worker.Egress;
 import hookweir.room.Room;
 
 /**
--- a/node/src/main/java/hookweir/net/RequestRouter.java
+++ b/node/src/main/java/hookweir/net/RequestRouter.java
@@ -2,10 +2,10 @@
 
 import hookweir.net.admin.Figures;
 import hookweir.net.admin.Standing;
-import hookweir.net.ingress.Ingress;
-import hookweir.net.ingress.IngressConnection;
-import hookweir.net.ingress.IngressRequest;
-import hookweir.net.ingress.RequestHandler;
+import hookweir.net.server.Ingress;
+import hookweir.net.server.IngressConnection;
+import hookweir.net.server.IngressRequest;
+import hookweir.net.server.RequestHandler;
 
 /** Routes requests by their path: workers' call-backs, health checks and jobs. Belongs to the {@link Loop}. */
 final class RequestRouter implements RequestHandler {
--- a/node/src/main/java/hookweir/net/Shutdown.java
+++ b/node/src/main/java/hookweir/net/Shutdown.java
@@ -2,7 +2,7 @@
 
 import hookweir.Contract;
 import hookweir.net.admin.Standing;
-import hookweir.net.ingress.Ingress;
+import hookweir.net.server.Ingress;
 
 /**
  * Sends clients away while operators, a later process or a planned end want it, and stops the loop at a planned end once
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -2,8 +2,8 @@
 
 import hookweir.Contract;
 import hookweir.net.admin.Figures;
-import hookweir.net.egress.Egress;
-import hookweir.net.ingress.Ingress;
+import hookweir.net.server.Ingress;
+import hookweir.net.worker.Egress;
 import hookweir.room.Room;
 
 /** Reports at intervals what the process holds: to the log, and to operators' figures. Belongs to the {@link Loop}. */
--- a/node/src/main/java/hookweir/net/ingress/Callback.java
+++ b/node/src/main/java/hookweir/net/server/Callback.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/node/src/main/java/hookweir/net/ingress/CloseReason.java
+++ b/node/src/main/java/hookweir/net/server/CloseReason.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 /** Why the scheduler ends a connection that it accepted. */
 enum CloseReason {
--- a/node/src/main/java/hookweir/net/ingress/ConnectionCloser.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionCloser.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.EventLog;
 import hookweir.net.HalfClose;
@@ -6,7 +6,7 @@
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
 import hookweir.net.Message;
-import hookweir.net.ingress.IngressConnection.Phase;
+import hookweir.net.server.IngressConnection.Phase;
 import java.util.function.Supplier;
 
 /** Ends connections so that no answer is lost: an error response where one is due, then a lingering close. Belongs to the loop. */
--- a/node/src/main/java/hookweir/net/ingress/ConnectionSweep.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionSweep.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
--- a/node/src/main/java/hookweir/net/ingress/ConnectionTable.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionTable.java
@@ -1,8 +1,8 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.net.ingress.IngressConnection.Phase;
+import hookweir.net.server.IngressConnection.Phase;
 import hookweir.room.Room;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/node/src/main/java/hookweir/net/ingress/Framing.java
+++ b/node/src/main/java/hookweir/net/server/Framing.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.MessageReader;
 import hookweir.net.Transport;
--- a/node/src/main/java/hookweir/net/ingress/Ingress.java
+++ b/node/src/main/java/hookweir/net/server/Ingress.java
@@ -1,10 +1,10 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.EventLog;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
 import hookweir.net.Transport;
-import hookweir.net.ingress.IngressConnection.Phase;
+import hookweir.net.server.IngressConnection.Phase;
 import hookweir.room.Room;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/node/src/main/java/hookweir/net/ingress/IngressConnection.java
+++ b/node/src/main/java/hookweir/net/server/IngressConnection.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.timer.TimerWheel;
 import java.util.ArrayDeque;
--- a/node/src/main/java/hookweir/net/ingress/IngressRequest.java
+++ b/node/src/main/java/hookweir/net/server/IngressRequest.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 /**
  * One whole request as it came in; not changed after.
--- a/node/src/main/java/hookweir/net/ingress/RequestFilter.java
+++ b/node/src/main/java/hookweir/net/server/RequestFilter.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import hookweir.net.Loop;
 import hookweir.net.Transport;
--- a/node/src/main/java/hookweir/net/ingress/RequestHandler.java
+++ b/node/src/main/java/hookweir/net/server/RequestHandler.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 /** Handles whole requests, on the loop. Each request is to be answered once by {@link Ingress#answer}. */
 public interface RequestHandler {
--- a/node/src/main/java/hookweir/net/ingress/StatusLine.java
+++ b/node/src/main/java/hookweir/net/server/StatusLine.java
@@ -1,4 +1,4 @@
-package hookweir.net.ingress;
+package hookweir.net.server;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/node/src/main/java/hookweir/net/egress/Egress.java
+++ b/node/src/main/java/hookweir/net/worker/Egress.java
@@ -1,4 +1,4 @@
-package hookweir.net.egress;
+package hookweir.net.worker;
 
 import hookweir.Contract;
 import hookweir.net.Dialer;
--- a/node/src/main/java/hookweir/net/egress/IdleLinks.java
+++ b/node/src/main/java/hookweir/net/worker/IdleLinks.java
@@ -1,4 +1,4 @@
-package hookweir.net.egress;
+package hookweir.net.worker;
 
 import hookweir.net.Link;
 import java.util.Iterator;
--- a/node/src/main/java/hookweir/net/egress/LoadReport.java
+++ b/node/src/main/java/hookweir/net/worker/LoadReport.java
@@ -1,4 +1,4 @@
-package hookweir.net.egress;
+package hookweir.net.worker;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/node/src/main/java/hookweir/net/egress/RestBudget.java
+++ b/node/src/main/java/hookweir/net/worker/RestBudget.java
@@ -1,4 +1,4 @@
-package hookweir.net.egress;
+package hookweir.net.worker;
 
 /**
  * A token bucket for waits on resting links. At a few calls a second each of them may wait; under load waits would bound the
--- a/node/src/test/java/hookweir/net/DialsTest.java
+++ b/node/src/test/java/hookweir/net/DialsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hookweir.Contract;
-import hookweir.net.egress.Egress;
+import hookweir.net.worker.Egress;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Random;
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -12,7 +12,7 @@
 import hookweir.Contract;
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
-import hookweir.net.egress.Egress;
+import hookweir.net.worker.Egress;
 import hookweir.room.Room;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/node/src/test/java/hookweir/net/FramingTest.java
+++ b/node/src/test/java/hookweir/net/FramingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.net.ingress.Framing;
+import hookweir.net.server.Framing;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import net.jqwik.api.ForAll;
--- a/node/src/test/java/hookweir/net/LinkPool.java
+++ b/node/src/test/java/hookweir/net/LinkPool.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 
 import hookweir.Contract;
-import hookweir.net.egress.Egress;
-import hookweir.net.egress.WorkerEndpoint;
+import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerEndpoint;
 import hookweir.room.Room;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/node/src/test/java/hookweir/net/LinksTest.java
+++ b/node/src/test/java/hookweir/net/LinksTest.java
@@ -10,7 +10,7 @@
 
 import com.sun.management.UnixOperatingSystemMXBean;
 import hookweir.Contract;
-import hookweir.net.egress.Egress;
+import hookweir.net.worker.Egress;
 import java.io.InputStream;
 import java.lang.management.ManagementFactory;
 import java.net.InetAddress;
