--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -56,7 +56,7 @@
                 w.id = i;
                 list.add(w);
             }
-            policy.fleet(now, false, list);
+            policy.workerListReceived(now, false, list);
         }
 
         @Override
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void refuse(int requestId, long comeBackUs) {
+        public void reject(int requestId, long comeBackUs) {
             sentTo = -1;
         }
 
@@ -83,19 +83,19 @@
         }
 
         @Override
-        public void timer(long token, long delayUs) {
+        public void startTimer(long token, long delayUs) {
         }
 
         @Override
-        public void watchList(boolean on) {
+        public void watchWorkerList(boolean on) {
         }
 
         @Override
-        public void fetchList() {
+        public void fetchWorkerList() {
         }
 
         @Override
-        public void tell(int peer, byte[] body) {
+        public void sendToPeer(int peer, byte[] body) {
         }
 
         @Override
@@ -121,10 +121,10 @@
         Contract.Request r = new Contract.Request();
         r.id = m.id++;
         m.now += 200;
-        r.giveUpAtUs = m.now + 1_000_000;
-        m.policy.request(m.now, r);
+        r.deadlineAtUs = m.now + 1_000_000;
+        m.policy.requestAccepted(m.now, r);
         if (m.sentTo >= 0) {
-            m.policy.outcome(m.now + 100, r.id, 0, m.sentTo, Contract.Outcome.OK, 100, true, null);
+            m.policy.attemptEnded(m.now + 100, r.id, 0, m.sentTo, Contract.Outcome.OK, 100, true, null);
         }
         return m.sentTo;
     }
--- a/core/src/main/java/hookweir/Contract.java
+++ b/core/src/main/java/hookweir/Contract.java
@@ -14,37 +14,37 @@
  * <p><b>Threading.</b> A dispatcher is single-threaded: the host delivers one event at a time and the
  * dispatcher acts on its {@link Host} only during that call. It keeps no thread, clock or I/O of its own.
  *
- * <p><b>Order.</b> {@link Dispatcher#fleet} comes before anything else. Then events come in the order in
+ * <p><b>Order.</b> {@link Dispatcher#workerListReceived} comes before anything else. Then events come in the order in
  * which they happened. Attempts of a request are numbered 0, 1, 2 ... in the order of {@link Host#send}.
- * For each attempt there is exactly one {@link Dispatcher#outcome}.
+ * For each attempt there is exactly one {@link Dispatcher#attemptEnded}.
  *
  * <p><b>Ownership.</b> {@link Settings}, requests and workers must not change once handed over (new settings
  * come as an object of their own, where a class that changed has a new number): the
  * dispatcher keeps them. The list of workers, a report and a message body belong to the host again on return.
- * Bodies given to {@link Host#tell} are the host's.
+ * Bodies given to {@link Host#sendToPeer} are the host's.
  */
 public final class Contract {
     private Contract() {
     }
 
     /** What a repeat of a request does. */
-    public enum Effect {
+    public enum Idempotency {
         /** May run any number of times. */
-        SAFE,
+        IDEMPOTENT,
         /** Carries a key; the workers of one group drop a repeat for a while. */
         KEYED,
         /** Must never run twice. */
-        UNSAFE
+        NON_IDEMPOTENT
     }
 
     /** Which workers drop repeats of a keyed request. */
-    public enum Scope { ALL, ZONE, CELL }
+    public enum DedupScope { ALL, ZONE, CELL }
 
     /** How load reports arrive. */
-    public enum ReportsBy { ANSWERS_AND_PROBES, PROBES, NEVER }
+    public enum LoadReportSource { RESPONSES_AND_PROBES, PROBES, NONE }
 
     /** What the list's size figure of a worker holds. */
-    public enum SizeFigure {
+    public enum SizeMetric {
         /** Nothing of use. */
         NONE,
         /** A size, exact or roughly so. */
@@ -54,7 +54,7 @@
     }
 
     /** State of a worker in the list. */
-    public enum State { DRAINING, READY, GONE }
+    public enum WorkerState { DRAINING, READY, GONE }
 
     /** How an attempt or a probe ended. */
     public enum Outcome {
@@ -101,24 +101,24 @@
 
     /** A class of requests. Fields have the defaults of a plain, safe class. */
     public static final class RequestClass {
-        /** Full worth is earned by an answer within this time plus {@link #stretch} times the own work. */
-        public long aimUs = 500_000;
+        /** Full worth is earned by an answer within this time plus {@link #softDeadlineStretch} times the own work. */
+        public long softDeadlineUs = 500_000;
         /** The aim grows by this many times the request's own running time. */
-        public double stretch;
+        public double softDeadlineStretch;
         /** The client's total wait across its tries. */
         public long deadlineUs = 1_000_000;
         /** Worth of one request (or of one unit of work). */
-        public double worth = 1;
+        public double value = 1;
         /** Share of the worth that an answer between aim and deadline earns. */
-        public double lateWorth;
+        public double lateValueShare;
         /** What a repeat does. */
-        public Effect effect = Effect.SAFE;
+        public Idempotency idempotency = Idempotency.IDEMPOTENT;
         /** The group that drops repeats, for a keyed class. */
-        public Scope scope = Scope.ALL;
+        public DedupScope dedupScope = DedupScope.ALL;
         /** How long the group remembers, counted from the first attempt that may have run. */
-        public long windowUs;
+        public long dedupWindowUs;
         /** The machine kind that the class needs, or -1. */
-        public int kind = -1;
+        public int requiredKind = -1;
         /** Priority in the workers' queues, where these serve by priority. */
         public int priority;
     }
@@ -128,71 +128,71 @@
         /** Request classes, by number. */
         public final List<RequestClass> classes = new ArrayList<>();
         /** For each tenant, the requests a second over all dispatchers that are inside its share. */
-        public double[] tenantRate = new double[0];
-        /** This dispatcher's number among {@link #dispatchers}. */
-        public int me;
+        public double[] tenantRatePerS = new double[0];
+        /** This dispatcher's number among {@link #schedulerCount}. */
+        public int schedulerIndex;
         /** How many dispatchers there are. */
-        public int dispatchers = 1;
+        public int schedulerCount = 1;
         /** The zone of this dispatcher. */
         public int zone;
         /** The list of workers must be asked for; else it is pushed. */
-        public boolean askForList;
+        public boolean pollList;
         /** One that has not asked for this long counts as told all the same (0: no such rule). */
-        public long askWithinUs;
+        public long maxPollIntervalUs;
         /** Nothing new to a worker later than this after word that it drains or is gone. */
         public long drainGraceUs;
         /** A started worker has at least this share of its capacity. */
-        public double coldShare = 0.1;
+        public double coldCapacityShare = 0.1;
         /** It has all of it after this time. */
-        public long warmWithinUs;
+        public long warmUpUs;
         /** It falls over when it is sent more than this many times its present capacity... */
-        public double fallMultiple = 2;
+        public double collapseLoadFactor = 2;
         /** ...for this long. */
-        public long fallUs = 1_000_000;
+        public long collapseAfterUs = 1_000_000;
         /** A final answer may come this much after the client's time. */
-        public long answerSlackUs;
+        public long responseSlackUs;
         /** The host handles events at most this often. */
         public long tickUs = 1_000;
         /** What {@link Host#send} sends leaves within this, or never: it may have to wait for a connection to come up. */
-        public long connectWithinUs;
+        public long connectTimeoutUs;
         /** The most attempts a request can have. */
         public int maxAttempts = 1;
         /** Two attempts of one request may be out at once. */
-        public boolean secondCopies;
+        public boolean concurrentAttemptsAllowed;
         /** Attempts may be called off. */
-        public boolean cancels;
+        public boolean cancelAllowed;
         /** Probes may be sent. */
-        public boolean probes;
+        public boolean probesAllowed;
         /** Messages to other dispatchers may be sent. */
-        public boolean peers;
+        public boolean peerMessagesAllowed;
         /** Clients are given advice on when to come back. */
-        public boolean comeBackAdvice;
+        public boolean retryAfterAllowed;
         /** The longest such advice that is heeded. */
-        public long maxComeBackUs;
+        public long maxRetryAfterUs;
         /** How load reports arrive. */
-        public ReportsBy reports = ReportsBy.NEVER;
+        public LoadReportSource loadReportSource = LoadReportSource.NONE;
         /** What the list's size figure holds. */
-        public SizeFigure sizes = SizeFigure.NONE;
+        public SizeMetric sizeMetric = SizeMetric.NONE;
         /** Jobs may need something that a worker keeps for a while, named by the request's key. */
-        public double priceOrigin;
+        public double originFetchPrice;
         /** Points for each request that crosses zones, as a share of all points. */
-        public double priceCrossZone;
+        public double crossZonePrice;
         /** Points for one probe a request. */
-        public double priceProbe;
+        public double probePrice;
         /** Points for 256 bytes delivered to peers for each request. */
-        public double pricePeer;
+        public double peerMessagePrice;
         /** Points for as much wasted work as was asked for. */
-        public double priceWaste;
+        public double wastedWorkPrice;
         /** Points for all failing only after the aim. */
-        public double priceLateFail;
+        public double lateFailurePrice;
         /** Worth kept by a request over its tenant's share. */
-        public double overShareWorth = 1;
+        public double overShareValue = 1;
         /** Workers say when a job starts. */
-        public boolean tellsStart;
+        public boolean jobStartReported;
         /** The gap between progress notes; 0: none. */
-        public long progressUs;
+        public long progressIntervalUs;
         /** A waiting job at the head of a worker's queue holds up those behind it. */
-        public boolean headBlocks = true;
+        public boolean headOfLineBlocking = true;
     }
 
     /** One worker as the list has it. */
@@ -200,7 +200,7 @@
         /** Its id, the same at every dispatcher and across restarts of its process. */
         public int id;
         /** Its state. */
-        public State state = State.READY;
+        public WorkerState state = WorkerState.READY;
         /** When its process last started; 0: long ago. */
         public long startedAtUs;
         /** Its zone. */
@@ -209,7 +209,7 @@
         public int cell;
         /** Its machine kind. */
         public int kind;
-        /** Its size figure, see {@link SizeFigure}. */
+        /** Its size figure, see {@link SizeMetric}. */
         public double size = 1;
     }
 
@@ -219,10 +219,10 @@
         public int id;
         /** Its class. */
         public int requestClass;
-        /** Its tenant, by its place in {@link Settings#tenantRate}; -1: none of them. */
+        /** Its tenant, by its place in {@link Settings#tenantRatePerS}; -1: none of them. */
         public int tenant;
         /** A rough guess of its cost in core time; 0: none. */
-        public long hintUs;
+        public long costHintUs;
         /** Slots that it takes. */
         public double slots = 1;
         /** Memory that it takes. */
@@ -230,106 +230,106 @@
         /** What it concerns; 0: nothing. */
         public long key;
         /** The client says that this is a repeat. */
-        public boolean repeat;
+        public boolean clientRetry;
         /** When the client gives this try up. */
-        public long giveUpAtUs;
+        public long deadlineAtUs;
     }
 
     /** A worker's load report; each figure is {@code NaN} when absent. It is some time old and not exact. */
     public static final class Report {
         /** Free slots. */
-        public double free;
+        public double freeSlots;
         /** Free memory. */
         public double freeMemory;
         /** Share of the cores that is busy. */
         public double utilization;
         /** Recent time to serve, without waiting, in milliseconds. */
-        public double serviceMs;
+        public double serviceTimeMs;
         /** Requests in hand, waiting ones included. */
-        public double inHand;
+        public double outstanding;
         /** Requests waiting. */
-        public double waiting;
+        public double queued;
         /** Errors a second. */
         public double errorsPerS;
 
         /** Makes every figure absent. */
         public void clear() {
-            free = freeMemory = utilization = serviceMs = inHand = waiting = errorsPerS = Double.NaN;
+            freeSlots = freeMemory = utilization = serviceTimeMs = outstanding = queued = errorsPerS = Double.NaN;
         }
     }
 
     /** The events that a host delivers. */
     public interface Dispatcher {
         /** The whole list, which replaces the old one, or (delta) only the entries that changed. */
-        void fleet(long nowUs, boolean delta, List<Worker> entries);
+        void workerListReceived(long nowUs, boolean delta, List<Worker> entries);
 
         /** A call to the list failed or the subscription broke; what was known stands. */
-        void fleetFailed(long nowUs);
+        void workerListFailed(long nowUs);
 
-        /** As {@link #fleetFailed(long)}, where the host knows how it failed. */
-        default void fleetFailed(long nowUs, CallFailure failure) {
-            fleetFailed(nowUs);
+        /** As {@link #workerListFailed(long)}, where the host knows how it failed. */
+        default void workerListFailed(long nowUs, CallFailure failure) {
+            workerListFailed(nowUs);
         }
 
         /**
          * No attempt may begin from untilUs on, as the list of workers may be out of date then; told anew whenever that changes.
          * Before the first call there is no such limit.
          */
-        default void listLease(long nowUs, long untilUs) {
+        default void listLeaseChanged(long nowUs, long untilUs) {
         }
 
         /** A request was taken. */
-        void request(long nowUs, Request request);
+        void requestAccepted(long nowUs, Request request);
 
         /** A worker started the job of an attempt, or (share above 0) tells how much is done. */
-        default void progress(long nowUs, int requestId, int attempt, int workerId, double share) {
+        default void progressReported(long nowUs, int requestId, int attempt, int workerId, double completedShare) {
         }
 
         /** An attempt has begun to answer with a stream; the request is bound to it. */
-        void streaming(long nowUs, int requestId, int attempt);
+        void streamStarted(long nowUs, int requestId, int attempt);
 
         /** An attempt ended. Closed: nothing more is owed for the request. Report: null or the load. */
-        void outcome(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
-            boolean closed, Report report);
+        void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
+            boolean requestClosed, Report report);
 
         /** Nobody waits for this request any more. */
-        void withdrawn(long nowUs, int requestId);
+        void requestAbandoned(long nowUs, int requestId);
 
         /** A probe ended. Report: null or the worker's load. */
-        void probed(long nowUs, int workerId, Outcome outcome, long elapsedUs, Report report);
+        void probeEnded(long nowUs, int workerId, Outcome outcome, long elapsedUs, Report report);
 
         /** The host leaves: what is open at byUs gets no answer from then on, and others can take new requests. */
-        default void leaving(long nowUs, long byUs) {
+        default void shutdownStarted(long nowUs, long shutdownAtUs) {
         }
 
         /** Other settings hold from now on; requests under way keep the class that they came with. */
-        default void retune(long nowUs, Settings settings) {
+        default void settingsChanged(long nowUs, Settings settings) {
         }
 
         /** How many listed workers it avoids at present. Any time after the first list; changes nothing. */
-        default int avoided(long nowUs) {
+        default int excludedWorkerCount(long nowUs) {
             return 0;
         }
 
         /** Another dispatcher told this one something. */
-        default void peer(long nowUs, int sender, byte[] body) {
+        default void peerMessageReceived(long nowUs, int sender, byte[] body) {
         }
 
         /** A timer came due. */
-        void timer(long nowUs, long token);
+        void timerExpired(long nowUs, long token);
     }
 
     /** The actions that a dispatcher asks of its host, during an event only. */
     public interface Host {
         /** Sends the request to a worker, as its next attempt; given up after withinUs (0: never). */
-        void send(int requestId, int workerId, long withinUs);
+        void send(int requestId, int workerId, long timeoutUs);
 
         /** Why the final answer that follows, a refusal or a failure, is given; for the host's log. */
-        default void ends(int requestId, EndReason reason) {
+        default void reportEndReason(int requestId, EndReason reason) {
         }
 
         /** Final answer: turned away; trying again is harmless, best after comeBackUs (0: no advice). */
-        void refuse(int requestId, long comeBackUs);
+        void reject(int requestId, long retryAfterUs);
 
         /** Final answer: failed; it may have run. */
         void fail(int requestId);
@@ -340,30 +340,30 @@
         /** Asks a worker for its load. */
         void probe(int workerId);
 
-        /** Calls {@link Dispatcher#timer} with this token after delayUs. */
-        void timer(long token, long delayUs);
+        /** Calls {@link Dispatcher#timerExpired} with this token after delayUs. */
+        void startTimer(long token, long delayUs);
 
         /**
-         * As {@link #timer}, once for a request, during {@link Dispatcher#request}: it need not come any more once the
+         * As {@link #startTimer}, once for a request, during {@link Dispatcher#requestAccepted}: it need not come any more once the
          * request has its final answer and no attempt of it is out.
          */
-        default void guard(int requestId, long token, long delayUs) {
-            timer(token, delayUs);
+        default void startRequestTimer(int requestId, long token, long delayUs) {
+            startTimer(token, delayUs);
         }
 
         /** Subscribes to changes of the list, or ends that. */
-        void watchList(boolean on);
+        void watchWorkerList(boolean on);
 
         /** Asks for the whole list once. */
-        void fetchList();
+        void fetchWorkerList();
 
-        /** Sends a message to a dispatcher, or to all others ({@link #EVERYBODY}). */
-        void tell(int peer, byte[] body);
+        /** Sends a message to a dispatcher, or to all others ({@link #ALL_PEERS}). */
+        void sendToPeer(int peer, byte[] body);
 
         /** A line for the operators. */
         void log(String text);
     }
 
     /** Receiver of a message meant for every other dispatcher. */
-    public static final int EVERYBODY = -1;
+    public static final int ALL_PEERS = -1;
 }
--- a/core/src/main/java/hookweir/Policy.java
+++ b/core/src/main/java/hookweir/Policy.java
@@ -3,12 +3,12 @@
 import static hookweir.Decay.fade;
 import static hookweir.Decay.mean;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.DedupScope;
 import hookweir.Contract.EndReason;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
 import hookweir.Contract.RequestClass;
-import hookweir.Contract.Scope;
-import hookweir.Contract.State;
+import hookweir.Contract.WorkerState;
 import hookweir.membership.CallFailure;
 import hookweir.membership.ListCallPacer;
 import hookweir.membership.WorkerStarts;
@@ -107,40 +107,40 @@
         this.host = host;
         random = new SplitMix(seed);
         salt = SplitMix.mix(seed);
-        for (RequestClass c : settings.classes) serviceUs = Math.min(serviceUs, c.aimUs);
+        for (RequestClass c : settings.classes) serviceUs = Math.min(serviceUs, c.softDeadlineUs);
         probeUs = staleUs = 4.0 * settings.tickUs;
-        retune(0, settings);
+        settingsChanged(0, settings);
     }
 
     /** What was learnt stays; all that settings decide follows. */
-    @Override public void retune(long now, Contract.Settings settings) {
-        if (set == null || set.dispatchers != settings.dispatchers || set.askForList != settings.askForList) {
-            listCalls = new ListCallPacer(settings.dispatchers, settings.askForList, settings.askWithinUs);
+    @Override public void settingsChanged(long now, Contract.Settings settings) {
+        if (set == null || set.schedulerCount != settings.schedulerCount || set.pollList != settings.pollList) {
+            listCalls = new ListCallPacer(settings.schedulerCount, settings.pollList, settings.maxPollIntervalUs);
         }
         set = settings;
-        checksOn = settings.probes && settings.reports != Contract.ReportsBy.NEVER;
-        checksPerRequest = Math.max(1, Math.min(MOST_PROBED, CHECK_POINTS / Math.max(set.priceProbe, 1e-9)));
+        checksOn = settings.probesAllowed && settings.loadReportSource != Contract.LoadReportSource.NONE;
+        checksPerRequest = Math.max(1, Math.min(MOST_PROBED, CHECK_POINTS / Math.max(set.probePrice, 1e-9)));
     }
 
     // ---- the list of workers ----
 
-    @Override public void fleet(long now, boolean delta, List<Contract.Worker> entries) {
+    @Override public void workerListReceived(long now, boolean delta, List<Contract.Worker> entries) {
         if (started && leased(now)) listCalls.answered();
-        if (!started && set.askForList) host.timer(WATCH, listCalls.firstCallUs(random.uniform()));
+        if (!started && set.pollList) host.startTimer(WATCH, listCalls.firstCallUs(random.uniform()));
         started = true;
         for (int i = 0; !delta && i < workers.size(); i++) workers.get(i).listed = false;
         for (Contract.Worker e : entries) {
             W w = byId.get(e.id);
             if (w == null) w = added(e, now);
-            w.listed = e.state != State.GONE;
-            w.ready = e.state == State.READY;
+            w.listed = e.state != WorkerState.GONE;
+            w.ready = e.state == WorkerState.READY;
             w.e = e;
             if (e.kind >= kindSlots.length) {
                 kindSlots = Arrays.copyOf(kindSlots, 2 * e.kind + 8);
                 kindPace = Arrays.copyOf(kindPace, 2 * e.kind + 8);
             }
             if (e.startedAtUs != w.listedStartUs) restarted(w, e.startedAtUs, now);
-            if (set.sizes == Contract.SizeFigure.LIVE && e.size > 0) {
+            if (set.sizeMetric == Contract.SizeMetric.LIVE && e.size > 0) {
                 // Departure: where the list's size figure falls with the requests held, it is a report too.
                 w.sizeMax = Math.max(w.sizeMax, e.size);
                 staleUs += w.heardUs == 0 ? 0 : Decay.GAIN / 10 * (now - w.heardUs - staleUs);
@@ -154,7 +154,7 @@
     }
 
     /** Draining ones, and those set aside for failures. */
-    @Override public int avoided(long now) {
+    @Override public int excludedWorkerCount(long now) {
         return (int) workers.stream().filter(w -> !w.ready || now < w.asideUntilUs).count();
     }
 
@@ -164,7 +164,7 @@
         w.hash = SplitMix.mix(e.id);
         byId.put(e.id, w);
         workers.add(w);
-        host.timer(token(CHECK, e.id), (long) (random.uniform() * serviceUs));
+        host.startTimer(token(CHECK, e.id), (long) (random.uniform() * serviceUs));
         return w;
     }
 
@@ -179,40 +179,40 @@
         w.asideUntilUs = w.fullUntilUs = 0;
     }
 
-    @Override public void fleetFailed(long now) {
-        fleetFailed(now, CallFailure.UNANSWERED);
+    @Override public void workerListFailed(long now) {
+        workerListFailed(now, CallFailure.UNANSWERED);
     }
 
-    @Override public void fleetFailed(long now, CallFailure failure) {
+    @Override public void workerListFailed(long now, CallFailure failure) {
         watching = false;
-        host.timer(WATCH, listCalls.nextCallUs(failure, random.uniform()));
+        host.startTimer(WATCH, listCalls.nextCallUs(failure, random.uniform()));
     }
 
-    @Override public void listLease(long now, long untilUs) {
+    @Override public void listLeaseChanged(long now, long untilUs) {
         leaseUntilUs = untilUs;
     }
 
     // ---- requests ----
 
-    @Override public void request(long now, Contract.Request r) {
+    @Override public void requestAccepted(long now, Contract.Request r) {
         Job j = new Job();
         j.r = r;
         j.in = set.classes.get(r.requestClass);
         j.slots = r.slots > 0 ? r.slots : 1;
         j.back = new boolean[set.maxAttempts];
         // A client's tries share one aim, counted from its first.
-        long born = Math.min(now, r.giveUpAtUs - j.in.deadlineUs);
-        j.aimUs = Math.min(born + j.in.aimUs + (long) (j.in.stretch * j.r.hintUs), r.giveUpAtUs);
+        long born = Math.min(now, r.deadlineAtUs - j.in.deadlineUs);
+        j.aimUs = Math.min(born + j.in.softDeadlineUs + (long) (j.in.softDeadlineStretch * j.r.costHintUs), r.deadlineAtUs);
         // That it waited before is a guess by its deadline: unless marked it may be a first try.
-        j.fairUs = j.aimUs - j.r.hintUs;
-        if (!r.repeat) j.fairUs = Math.min(j.fairUs + now - born, r.giveUpAtUs - j.r.hintUs);
+        j.fairUs = j.aimUs - j.r.costHintUs;
+        if (!r.clientRetry) j.fairUs = Math.min(j.fairUs + now - born, r.deadlineAtUs - j.r.costHintUs);
         jobs.put(j.r.id, j);
-        meanHintUs = meanHintUs == 0 ? j.r.hintUs : mean(meanHintUs, j.r.hintUs);
+        meanHintUs = meanHintUs == 0 ? j.r.costHintUs : mean(meanHintUs, j.r.costHintUs);
         arrivals = arrivals * fade(now - arrivalsUs, RATE_WINDOW_S * 1e6) + 1;
         arrivalsUs = now;
-        long guardUs = leaveUs > 0 ? Math.min(leaveUs, j.r.giveUpAtUs) : j.r.giveUpAtUs;
-        host.guard(j.r.id, token(GUARD, j.r.id), Math.max(0, guardUs - now - 2 * set.tickUs));
-        boolean firstTry = !r.repeat && born >= now - 4 * set.tickUs;
+        long guardUs = leaveUs > 0 ? Math.min(leaveUs, j.r.deadlineAtUs) : j.r.deadlineAtUs;
+        host.startRequestTimer(j.r.id, token(GUARD, j.r.id), Math.max(0, guardUs - now - 2 * set.tickUs));
+        boolean firstTry = !r.clientRetry && born >= now - 4 * set.tickUs;
         W lot = firstTry && leased(now) && endsHere(j, now) ? coldLot(j, now) : null;
         if (lot != null && maySend(j, now)) send(j, lot, now);
         else start(j, now);
@@ -230,7 +230,7 @@
         from = 0;
         span = workers.size();
         double cold = 0, ending = 0;
-        double lots = Math.max(1, COLD_WORK * set.fallMultiple / Math.max(LEAST_PASSED, passed));
+        double lots = Math.max(1, COLD_WORK * set.collapseLoadFactor / Math.max(LEAST_PASSED, passed));
         for (int i = 0; i < span; i++) {
             W w = workers.get(i);
             double warm = warmth(w, now);
@@ -242,7 +242,7 @@
             ending += endsCold(j, w, now) ? weight[i] : 0;
             weight[i] *= lots;
         }
-        if (cold > 0) passed += Decay.GAIN * Math.min(4, j.r.hintUs / serviceUs) * (ending / cold - passed);
+        if (cold > 0) passed += Decay.GAIN * Math.min(4, j.r.costHintUs / serviceUs) * (ending / cold - passed);
         int at = draw();
         W w = at < 0 ? null : workers.get(at);
         boolean open = w != null && w.cold && now >= w.asideUntilUs && fits(j, w) && endsCold(j, w, now);
@@ -251,20 +251,20 @@
 
     /** A cold worker runs slower by what it lacks. */
     private boolean endsCold(Job j, W w, long now) {
-        if (j.r.hintUs > COLD_HEAVY * meanHintUs) return false;
-        return now + j.r.hintUs * pace(w) / warmth(w, now) < j.aimUs;
+        if (j.r.costHintUs > COLD_HEAVY * meanHintUs) return false;
+        return now + j.r.costHintUs * pace(w) / warmth(w, now) < j.aimUs;
     }
 
     /** Departure: a run's pace, of its hint, by the list's size for a slot and as its kind was seen. */
     private double pace(W w) {
-        boolean sized = set.sizes == Contract.SizeFigure.NOMINAL && w.e.size > 0;
+        boolean sized = set.sizeMetric == Contract.SizeMetric.NOMINAL && w.e.size > 0;
         return (sized ? slots(w) / w.e.size : 1) * (1 + kindPace[w.e.kind]);
     }
 
     /** The share of its capacity that a worker surely has. */
     private double warmth(W w, long now) {
-        if (w.startedUs == 0 || now - w.startedUs >= set.warmWithinUs) return 1;
-        return set.coldShare + (1 - set.coldShare) * Math.max(0, now - w.startedUs) / set.warmWithinUs;
+        if (w.startedUs == 0 || now - w.startedUs >= set.warmUpUs) return 1;
+        return set.coldCapacityShare + (1 - set.coldCapacityShare) * Math.max(0, now - w.startedUs) / set.warmUpUs;
     }
 
     private void start(Job j, long now) {
@@ -299,7 +299,7 @@
         }
         j.waiting = true;
         probing.add(j);
-        if (j.probesOut > 0) host.timer(token(PROBED, j.r.id), (long) (2 * probeUs) + set.tickUs);
+        if (j.probesOut > 0) host.startTimer(token(PROBED, j.r.id), (long) (2 * probeUs) + set.tickUs);
         else place(j, now);
     }
 
@@ -331,7 +331,7 @@
         // Who waited was turned away somewhere; while nobody was here, a short deadline is a client's own.
         boolean calm = meanFill < AMPLE && now - turnedUs > j.in.deadlineUs;
         boolean hurry = room > 0 && now < j.fairUs && calm;
-        boolean worthless = !inTime && !hurry && j.in.lateWorth <= 0 && mayRefuse(j);
+        boolean worthless = !inTime && !hurry && j.in.lateValueShare <= 0 && mayRefuse(j);
         if (further) {
             probeCandidates(j, now);
         } else if (at >= 0 && !worthless && (room > 0 || !believed(j) || !inTime && !mayRefuse(j))) {
@@ -349,32 +349,32 @@
         }
         j.waiting = true;
         double pause = Math.min(serviceUs * RECHECK * (0.5 + random.uniform()), latestStart(j) - now);
-        host.timer(token(AGAIN, j.r.id), (long) Math.max(set.tickUs, pause));
+        host.startTimer(token(AGAIN, j.r.id), (long) Math.max(set.tickUs, pause));
     }
 
     /** The last moment at which a start still earns the full worth; without a hint, for the smallest job. */
     private long latestStart(Job j) {
-        return j.aimUs - j.r.hintUs;
+        return j.aimUs - j.r.costHintUs;
     }
 
     /** Rule 2, in one place: may this request go out once more? */
     private boolean maySend(Job j, long now) {
-        boolean closing = now + set.connectWithinUs >= j.firstRunUs + j.in.windowUs * 15 / 16;
-        return j.attempts < Math.min(set.maxAttempts, j.back.length) && now < j.r.giveUpAtUs - set.tickUs
-            && (j.out == 0 || set.secondCopies)
-            && (j.firstRun == null || j.in.effect == Effect.SAFE || j.in.effect == Effect.KEYED && !closing);
+        boolean closing = now + set.connectTimeoutUs >= j.firstRunUs + j.in.dedupWindowUs * 15 / 16;
+        return j.attempts < Math.min(set.maxAttempts, j.back.length) && now < j.r.deadlineAtUs - set.tickUs
+            && (j.out == 0 || set.concurrentAttemptsAllowed)
+            && (j.firstRun == null || j.in.idempotency == Idempotency.IDEMPOTENT || j.in.idempotency == Idempotency.KEYED && !closing);
     }
 
     /** Rule 2: a refusal says that a repeat is harmless. */
     private boolean mayRefuse(Job j) {
-        return j.firstRun == null || j.in.effect == Effect.SAFE
-            || j.in.effect == Effect.KEYED && j.in.scope == Scope.ALL;
+        return j.firstRun == null || j.in.idempotency == Idempotency.IDEMPOTENT
+            || j.in.idempotency == Idempotency.KEYED && j.in.dedupScope == DedupScope.ALL;
     }
 
     /** Rule 2: a keyed request that may have run stays in the group that drops its repeats. */
     private boolean inGroup(Job j, W w) {
-        if (j.in.effect != Effect.KEYED || j.firstRun == null || j.in.scope == Scope.ALL) return true;
-        return j.in.scope == Scope.ZONE ? w.e.zone == j.firstRun.e.zone : w.e.cell == j.firstRun.e.cell;
+        if (j.in.idempotency != Idempotency.KEYED || j.firstRun == null || j.in.dedupScope == DedupScope.ALL) return true;
+        return j.in.dedupScope == DedupScope.ZONE ? w.e.zone == j.firstRun.e.zone : w.e.cell == j.firstRun.e.cell;
     }
 
     /** The one place that sends; until an outcome proves otherwise, the attempt may have run. */
@@ -390,31 +390,31 @@
     }
 
     /** Jobs that can't end here in time are let go while others can take them; the rest goes on till then. */
-    @Override public void leaving(long now, long byUs) {
+    @Override public void shutdownStarted(long now, long byUs) {
         leaveUs = byUs;
         for (Job j : new ArrayList<>(jobs.values())) {
             if (j.done || j.bound || !mayRefuse(j)) continue;
             boolean ends = endsHere(j, j.out > 0 && j.startedUs > 0 ? j.startedUs : now);
             if (!ends) finish(j, EndReason.LEAVING, now);
-            else host.timer(token(GUARD, j.r.id), byUs - now);
+            else host.startTimer(token(GUARD, j.r.id), byUs - now);
         }
     }
 
     private boolean endsHere(Job j, long startUs) {
-        return leaveUs == 0 || startUs + (long) (j.r.hintUs * BEST_PACE) < leaveUs;
+        return leaveUs == 0 || startUs + (long) (j.r.costHintUs * BEST_PACE) < leaveUs;
     }
 
-    @Override public void progress(long now, int requestId, int attempt, int workerId, double share) {
+    @Override public void progressReported(long now, int requestId, int attempt, int workerId, double share) {
         Job j = jobs.get(requestId);
         if (j != null && attempt == j.attempts - 1 && j.startedUs == 0) j.startedUs = now;
     }
 
     /** The one place that ends a request: refused where a repeat is harmless, else failed. */
     private void finish(Job j, EndReason reason, long now) {
-        host.ends(j.r.id, reason);
+        host.reportEndReason(j.r.id, reason);
         turnedUs = now;
-        long back = leaveUs > 0 ? Math.min(BACK_SOON_US, set.maxComeBackUs) : set.maxComeBackUs;
-        if (mayRefuse(j)) host.refuse(j.r.id, set.comeBackAdvice ? back : 0);
+        long back = leaveUs > 0 ? Math.min(BACK_SOON_US, set.maxRetryAfterUs) : set.maxRetryAfterUs;
+        if (mayRefuse(j)) host.reject(j.r.id, set.retryAfterAllowed ? back : 0);
         else host.fail(j.r.id);
         close(j);
     }
@@ -423,13 +423,13 @@
         j.done = true;
         // A job that ends while it probes leaves the list now: a struck worker's check never places it.
         probing.remove(j);
-        for (int i = 0; set.cancels && i < j.attempts; i++) {
+        for (int i = 0; set.cancelAllowed && i < j.attempts; i++) {
             if (!j.back[i]) host.cancel(j.r.id, i);
         }
         if (j.out == 0) jobs.remove(j.r.id);
     }
 
-    @Override public void outcome(long now, int requestId, int attempt, int workerId, Outcome outcome,
+    @Override public void attemptEnded(long now, int requestId, int attempt, int workerId, Outcome outcome,
             long elapsedUs, boolean closed, Contract.Report report) {
         W w = byId.get(workerId);
         Job j = jobs.get(requestId);
@@ -450,7 +450,7 @@
         if (outcome == Outcome.OK) {
             serviceUs = mean(serviceUs, elapsedUs);
             double runUs = j.startedUs > 0 ? now - j.startedUs : elapsedUs;
-            double pace = runUs / (j.r.hintUs > 0 ? j.r.hintUs : serviceUs);
+            double pace = runUs / (j.r.costHintUs > 0 ? j.r.costHintUs : serviceUs);
             if (w != null && warmth(w, now) == 1) {
                 kindPace[w.e.kind] = (1 + kindPace[w.e.kind]) * mean(1, pace / pace(w)) - 1;
                 meanPace = mean(meanPace, pace);
@@ -487,19 +487,19 @@
         return w.bad == 0 ? 0 : w.bad * fade(now - w.badUs, FORGIVEN * serviceUs);
     }
 
-    @Override public void streaming(long now, int requestId, int attempt) {
+    @Override public void streamStarted(long now, int requestId, int attempt) {
         Job j = jobs.get(requestId);
         if (j != null) j.bound = true;
     }
 
-    @Override public void withdrawn(long now, int requestId) {
+    @Override public void requestAbandoned(long now, int requestId) {
         Job j = jobs.get(requestId);
         if (j != null && !j.done) close(j);
     }
 
     // ---- what is known of a worker's load ----
 
-    @Override public void probed(long now, int workerId, Outcome outcome, long elapsedUs,
+    @Override public void probeEnded(long now, int workerId, Outcome outcome, long elapsedUs,
             Contract.Report report) {
         W w = byId.get(workerId);
         if (w == null) return;
@@ -514,23 +514,23 @@
     }
 
     private void take(W w, Contract.Report r, long now) {
-        if (r.free >= 0) {
-            kindSlots[w.e.kind] = Math.max(kindSlots[w.e.kind], r.free);
-            heard(w, now, slots(w) - r.free);
+        if (r.freeSlots >= 0) {
+            kindSlots[w.e.kind] = Math.max(kindSlots[w.e.kind], r.freeSlots);
+            heard(w, now, slots(w) - r.freeSlots);
         } else if (r.utilization >= 0) {
             heard(w, now, slots(w) * Math.min(1, r.utilization));
         }
-        double load = r.utilization >= 0 ? r.utilization : r.inHand;
+        double load = r.utilization >= 0 ? r.utilization : r.outstanding;
         // The same noisy figures again: not refreshed in between, so reports are at least this old.
-        boolean same = load == w.load && r.free == w.free && load != Math.rint(load) && !(r.utilization > 1);
+        boolean same = load == w.load && r.freeSlots == w.free && load != Math.rint(load) && !(r.utilization > 1);
         if (same) staleUs += Math.max(0, now - w.figureUs - staleUs) * STALE_GAIN;
         else w.figureUs = now;
         w.errors = r.errorsPerS > 0 ? r.errorsPerS * serviceUs / 1e6 / slots(w) : 0;
         w.load = load;
-        w.free = r.free;
-        if (r.serviceMs > 0) {
-            w.serviceMs = r.serviceMs;
-            meanMs = Double.isNaN(meanMs) ? r.serviceMs : mean(meanMs, r.serviceMs);
+        w.free = r.freeSlots;
+        if (r.serviceTimeMs > 0) {
+            w.serviceMs = r.serviceTimeMs;
+            meanMs = Double.isNaN(meanMs) ? r.serviceTimeMs : mean(meanMs, r.serviceTimeMs);
         }
     }
 
@@ -618,7 +618,7 @@
             room *= Math.min(2, w.serviceMs > 0 ? meanMs / w.serviceMs : meanPace / pace(w));
             room *= failureShare(w, now) < EXCUSED ? 1 : 1 - failureShare(w, now);
             // Departure: a job goes where its run can still end in time: slow cores outlast some clients.
-            room *= now + j.r.hintUs * pace(w) > j.aimUs ? TOO_SLOW : 1;
+            room *= now + j.r.costHintUs * pace(w) > j.aimUs ? TOO_SLOW : 1;
             weight[i] = Math.max(0, room * home(w));
             sum += weight[i];
         }
@@ -635,12 +635,12 @@
 
     /** Departure: room abroad counts for less where crossing costs. */
     private double home(W w) {
-        return w.e.zone == set.zone || set.priceCrossZone <= 0 ? 1 : ABROAD;
+        return w.e.zone == set.zone || set.crossZonePrice <= 0 ? 1 : ABROAD;
     }
 
     /** The worker can run the job, may by rule 2, and is not the one that just failed to. */
     private boolean fits(Job j, W w) {
-        return (j.in.kind < 0 || j.in.kind == w.e.kind)
+        return (j.in.requiredKind < 0 || j.in.requiredKind == w.e.kind)
             && (j.attempts == 0 || inGroup(j, w) && j.last != w)
             && (j.slots <= 1 || j.slots <= slots(w) + 0.5 || kindSlots[w.e.kind] <= 1);
     }
@@ -694,13 +694,13 @@
             if (checksOn) check(w);
             left = gap;
         }
-        host.timer(token(CHECK, w.e.id), (long) Math.max(left, set.tickUs));
+        host.startTimer(token(CHECK, w.e.id), (long) Math.max(left, set.tickUs));
     }
 
-    @Override public void timer(long now, long token) {
+    @Override public void timerExpired(long now, long token) {
         int id = (int) (token >> 3), what = (int) (token & 7);
         if (what == CHECK && byId.containsKey(id)) checkDue(byId.get(id), now);
-        if (what == WATCH && !watching) host.watchList(watching = true);
+        if (what == WATCH && !watching) host.watchWorkerList(watching = true);
         Job j = what == WATCH || what == CHECK ? null : jobs.get(id);
         if (j == null || j.done || j.bound) return;
         // The guard is against a request that is held here, or out on a worker that never answers.
--- a/core/src/main/java/hookweir/room/Room.java
+++ b/core/src/main/java/hookweir/room/Room.java
@@ -1,6 +1,6 @@
 package hookweir.room;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.RequestClass;
 import java.util.List;
 
@@ -104,8 +104,8 @@
 
     /** By effect first: a client can't lightly repeat what must not run twice; then by worth. */
     private static double dearness(RequestClass c) {
-        double byWorth = c.worth / (1 + c.worth);
-        return byWorth + (c.effect == Effect.SAFE ? 0 : c.effect == Effect.KEYED ? 1 : 2);
+        double byWorth = c.value / (1 + c.value);
+        return byWorth + (c.idempotency == Idempotency.IDEMPOTENT ? 0 : c.idempotency == Idempotency.KEYED ? 1 : 2);
     }
 
     /** So full jobs may make it for this class; one that is unknown is worth least. */
--- a/core/src/test/java/hookweir/ColdBudgetTest.java
+++ b/core/src/test/java/hookweir/ColdBudgetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -56,13 +56,13 @@
         World(int dispatcherCount, int workers, double coldShare, long seed) {
             this.workers = workers;
             random = new Random(seed);
-            settings = RecordingHost.probing(Effect.SAFE);
-            settings.dispatchers = dispatcherCount;
-            settings.coldShare = coldShare;
-            settings.fallMultiple = 3;
-            settings.fallUs = 1_000_000;
-            settings.warmWithinUs = 24_000_000;
-            settings.classes.get(0).stretch = 2;
+            settings = RecordingHost.probing(Idempotency.IDEMPOTENT);
+            settings.schedulerCount = dispatcherCount;
+            settings.coldCapacityShare = coldShare;
+            settings.collapseLoadFactor = 3;
+            settings.collapseAfterUs = 1_000_000;
+            settings.warmUpUs = 24_000_000;
+            settings.classes.get(0).softDeadlineStretch = 2;
             settings.classes.get(0).deadlineUs = 8_000_000;
             busy = new int[workers];
             sendsSeen = new int[dispatcherCount];
@@ -90,7 +90,7 @@
 
         private double warmth(int worker, long now) {
             boolean cold = worker < workers / 2;
-            return !cold ? 1 : settings.coldShare + (1 - settings.coldShare) * (now - startUs) / settings.warmWithinUs;
+            return !cold ? 1 : settings.coldCapacityShare + (1 - settings.coldCapacityShare) * (now - startUs) / settings.warmUpUs;
         }
 
         /** Jobs come at so many times what the warm fleet can do. */
@@ -120,9 +120,9 @@
         private void ask(int d) {
             RecordingHost h = dispatchers.get(d);
             Contract.Request r = h.request(requests, settings);
-            r.hintUs = (long) (MEAN_WORK_US * Math.exp(SPREAD * random.nextGaussian() - SPREAD * SPREAD / 2));
-            works[requests++] = r.hintUs;
-            h.policy.request(h.now, r);
+            r.costHintUs = (long) (MEAN_WORK_US * Math.exp(SPREAD * random.nextGaussian() - SPREAD * SPREAD / 2));
+            works[requests++] = r.costHintUs;
+            h.policy.requestAccepted(h.now, r);
         }
 
         private void answerProbes(int d) {
@@ -152,10 +152,10 @@
             }
             Deque<Sent> window = sent.get(worker);
             window.add(new Sent(now, works[request] / (double) MEAN_WORK_US));
-            while (window.peek().atUs < now - settings.fallUs) {
+            while (window.peek().atUs < now - settings.collapseAfterUs) {
                 window.poll();
             }
-            double n = settings.fallMultiple * SLOTS * warmth(worker, Math.max(startUs, now - settings.fallUs)) * settings.fallUs / MEAN_WORK_US;
+            double n = settings.collapseLoadFactor * SLOTS * warmth(worker, Math.max(startUs, now - settings.collapseAfterUs)) * settings.collapseAfterUs / MEAN_WORK_US;
             double budget = n < FEW ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
             mostOver = Math.max(mostOver, window.stream().mapToDouble(Sent::work).sum() / budget);
         }
@@ -164,7 +164,7 @@
             while (!ends.isEmpty() && ends.peek().atUs <= now) {
                 End e = ends.poll();
                 busy[e.worker]--;
-                dispatchers.get(e.dispatcher).policy.outcome(now, e.request, 0, e.worker, Outcome.OK, now - e.sentUs, true, null);
+                dispatchers.get(e.dispatcher).policy.attemptEnded(now, e.request, 0, e.worker, Outcome.OK, now - e.sentUs, true, null);
             }
         }
     }
--- a/core/src/test/java/hookweir/EmbeddingExampleTest.java
+++ b/core/src/test/java/hookweir/EmbeddingExampleTest.java
@@ -11,7 +11,7 @@
     void example() {
         Contract.Settings settings = new Contract.Settings();
         Contract.RequestClass saves = new Contract.RequestClass();
-        saves.effect = Contract.Effect.SAFE;
+        saves.idempotency = Contract.Idempotency.IDEMPOTENT;
         settings.classes.add(saves);
 
         RecordingHost host = new RecordingHost();
@@ -20,14 +20,14 @@
         Contract.Worker worker = new Contract.Worker();
         worker.id = 7;
         long now = 1_000_000;
-        dispatcher.fleet(now, false, List.of(worker));
+        dispatcher.workerListReceived(now, false, List.of(worker));
 
         Contract.Request request = new Contract.Request();
         request.id = 1;
-        request.giveUpAtUs = now + 1_000_000;
-        dispatcher.request(now, request);
+        request.deadlineAtUs = now + 1_000_000;
+        dispatcher.requestAccepted(now, request);
         assertEquals(List.of("send 1 7"), host.actions);
 
-        dispatcher.outcome(now + 30_000, 1, 0, 7, Contract.Outcome.OK, 30_000, true, null);
+        dispatcher.attemptEnded(now + 30_000, 1, 0, 7, Contract.Outcome.OK, 30_000, true, null);
     }
 }
--- a/core/src/test/java/hookweir/LargeFleetTest.java
+++ b/core/src/test/java/hookweir/LargeFleetTest.java
@@ -37,15 +37,15 @@
             h.take(id, s);
             int worker = h.sentTo.get(id);
             to[worker]++;
-            h.policy.outcome(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
+            h.policy.attemptEnded(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
         }
         return to;
     }
 
     @Test
     void sharesFollowRoomOverAllOfIt() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = false;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = false;
         int[] to = sends(host(s), s, true, JOBS, 10);
         long roomy = 0;
         long half = 0;
@@ -62,8 +62,8 @@
 
     @Test
     void everyWorkerIsReached() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = false;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = false;
         int[] to = sends(host(s), s, false, JOBS, 2_000);
         for (int i = 0; i < WORKERS; i++) {
             assertTrue(to[i] > 2 && to[i] < 60, "worker " + i + " got " + to[i]);
@@ -73,9 +73,9 @@
     /** Four of a thousand can do this class: no part may hold one, and then all are looked through. */
     @Test
     void theFewThatFitAreFound() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = false;
-        s.classes.get(0).kind = 1;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = false;
+        s.classes.get(0).requiredKind = 1;
         int[] to = sends(host(s), s, false, FEW, 4_000_000);
         for (int i = 0; i < WORKERS; i++) {
             assertTrue(i % 250 == 7 ? to[i] > FEW / 8 : to[i] == 0, "worker " + i + " got " + to[i]);
@@ -98,7 +98,7 @@
             h.take(id, s);
             int worker = h.sentTo.get(h.sentTo.size() - 1);
             bits |= 1 << worker;
-            h.policy.outcome(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
+            h.policy.attemptEnded(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
         }
         return bits;
     }
@@ -106,7 +106,7 @@
     /** A list that shrinks by half and comes back: nobody who left it gets a job, and all who came back do. */
     @Test
     void aListThatShrinksByHalfAndComesBackIsFollowed() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 3);
         h.fleet(named(0, 20));
         assertEquals(0xfffff, reached(h, s, 1));
@@ -119,7 +119,7 @@
     /** Six in ten names go and as many new ones come within a second; a job out at one that went is told of its end all the same. */
     @Test
     void sixInTenNamesReplacedWithinASecond() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 3);
         h.fleet(named(0, 12));
         h.take(9_999, s);
@@ -127,10 +127,10 @@
         for (int gone = 0; gone < 7; gone++) {
             h.now += 100_000;
             Contract.Worker w = worker(gone);
-            w.state = Contract.State.GONE;
+            w.state = Contract.WorkerState.GONE;
             h.change(w, worker(13 + gone));
         }
-        h.policy.outcome(h.now, 9_999, 0, first, Outcome.RESET, 700_000, false, null);
+        h.policy.attemptEnded(h.now, 9_999, 0, first, Outcome.RESET, 700_000, false, null);
         assertTrue(h.sentTo.get(1) >= 7 && h.sentTo.get(1) != first, "again at " + h.sentTo.get(1));
         assertEquals(0xfff80 & ~(1 << 12), reached(h, s, 1));
     }
--- a/core/src/test/java/hookweir/ListCallsTest.java
+++ b/core/src/test/java/hookweir/ListCallsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,10 +20,10 @@
     private static final long LONGEST_PAUSE_US = 750_000;
 
     private static Contract.Settings asked(int dispatchers) {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.askForList = true;
-        s.askWithinUs = 10_000_000;
-        s.dispatchers = dispatchers;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.pollList = true;
+        s.maxPollIntervalUs = 10_000_000;
+        s.schedulerCount = dispatchers;
         return s;
     }
 
@@ -33,7 +33,7 @@
         h.fleet(worker(1));
         h.pass(STEP_US);
         for (int failures = 1; failures <= 100; failures++) {
-            h.policy.fleetFailed(h.now);
+            h.policy.workerListFailed(h.now);
             h.pass(LONGEST_PAUSE_US / 6 - STEP_US);
             assertEquals(failures, h.count("watch true"), "not at once");
             h.pass(LONGEST_PAUSE_US * 5 / 6 + 2 * STEP_US);
@@ -48,11 +48,11 @@
         h.fleet();
         h.pass(1_000_000);
         for (int failures = 0; failures < 10; failures++) {
-            h.policy.fleetFailed(h.now);
+            h.policy.workerListFailed(h.now);
             h.pass(10_000_000);
         }
         int before = h.count("watch true");
-        h.policy.fleetFailed(h.now);
+        h.policy.workerListFailed(h.now);
         h.pass(2_000_000);
         assertEquals(before, h.count("watch true"));
     }
@@ -81,7 +81,7 @@
 
     private static List<RecordingHost> starting(Contract.Settings settings) {
         List<RecordingHost> hosts = new ArrayList<>();
-        for (int i = 0; i < settings.dispatchers; i++) {
+        for (int i = 0; i < settings.schedulerCount; i++) {
             RecordingHost h = RecordingHost.with(settings, 100 + i);
             h.fleet();
             hosts.add(h);
--- a/core/src/test/java/hookweir/ManyDispatchersTest.java
+++ b/core/src/test/java/hookweir/ManyDispatchersTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -30,7 +30,7 @@
     void atAStartWorkersAreNotCheckedByEveryDispatcher() {
         int checks = 0;
         for (int d = 0; d < DISPATCHERS; d++) {
-            RecordingHost h = RecordingHost.with(probing(Effect.SAFE), 100 + d);
+            RecordingHost h = RecordingHost.with(probing(Idempotency.IDEMPOTENT), 100 + d);
             h.fleet(workers(WORKERS));
             h.pass(5_000_000);
             checks += h.probes.size();
@@ -40,9 +40,9 @@
 
     @Test
     void aHeavyJobGoesToTheFastKindBeforeAnyOutcome() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.sizes = Contract.SizeFigure.NOMINAL;
-        s.classes.get(0).stretch = 1.5;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.sizeMetric = Contract.SizeMetric.NOMINAL;
+        s.classes.get(0).softDeadlineStretch = 1.5;
         int fast = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -50,8 +50,8 @@
             h.report(1, 4);
             h.report(2, 4);
             Contract.Request r = h.request(1, s);
-            r.hintUs = 3_000_000; // twice as long on the slow kind: 6 s, and 5.5 s are wanted
-            h.policy.request(h.now, r);
+            r.costHintUs = 3_000_000; // twice as long on the slow kind: 6 s, and 5.5 s are wanted
+            h.policy.requestAccepted(h.now, r);
             fast += h.sentTo.get(0) == 1 ? 1 : 0;
         }
         assertTrue(fast > 0.9 * SEEDS, "sent to the fast kind: " + fast + " of " + SEEDS);
@@ -64,8 +64,8 @@
 
     /** After so many jobs that are too long for it. */
     private static double toCold(long hintUs, long afterUs, int longJobs) {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.coldShare = 0.25;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.coldCapacityShare = 0.25;
         int cold = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -77,13 +77,13 @@
             h.report(1, 0);
             for (int job = 1; job <= longJobs; job++) {
                 Contract.Request before = h.request(job, s);
-                before.hintUs = 800_000; // too long for the cold one: held, and the fleet known to be full
-                h.policy.request(h.now, before);
+                before.costHintUs = 800_000; // too long for the cold one: held, and the fleet known to be full
+                h.policy.requestAccepted(h.now, before);
             }
             h.sentTo.clear();
             Contract.Request r = h.request(1 + longJobs, s);
-            r.hintUs = hintUs;
-            h.policy.request(h.now, r);
+            r.costHintUs = hintUs;
+            h.policy.requestAccepted(h.now, r);
             cold += !h.sentTo.isEmpty() && h.sentTo.get(0) == 2 ? 1 : 0;
         }
         return cold / (double) SEEDS;
@@ -111,7 +111,7 @@
     /** A list says that a worker starts in an hour: cold from now on, it is warm in the time that the settings give. */
     @Test
     void aStartInTheFutureCountsAsNow() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 1);
         Contract.Worker ahead = worker(1);
         ahead.startedAtUs = h.now + 3_600_000_000L;
@@ -121,8 +121,8 @@
         for (int job = 1; job <= 2; job++) {
             h.fleet(ahead); // the same list again is no new start
             Contract.Request r = h.request(job, s);
-            r.hintUs = 300_000; // a cold one would need 3 s for it
-            h.policy.request(h.now, r);
+            r.costHintUs = 300_000; // a cold one would need 3 s for it
+            h.policy.requestAccepted(h.now, r);
         }
         assertEquals(List.of(1, 1), h.sentTo);
     }
@@ -133,10 +133,10 @@
      */
     @Test
     void whatAllDispatchersSendAColdWorkerStaysUnderTheMultipleOfItsCapacity() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.coldShare = 0.2;
-        s.fallMultiple = 3;
-        s.warmWithinUs = 1_000_000_000_000L;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.coldCapacityShare = 0.2;
+        s.collapseLoadFactor = 3;
+        s.warmUpUs = 1_000_000_000_000L;
         int warm = 12;
         int slots = 4;
         Random jobs = new Random(5);
@@ -161,12 +161,12 @@
             RecordingHost h = hosts.get(jobs.nextInt(DISPATCHERS));
             h.pass((long) (t * 1e6) - (h.now - start));
             Contract.Request r = h.request(++id, s);
-            r.hintUs = (long) (work * 1e6);
+            r.costHintUs = (long) (work * 1e6);
             int before = h.sentTo.size();
-            h.policy.request(h.now, r);
+            h.policy.requestAccepted(h.now, r);
             toCold += h.sentTo.size() > before && h.sentTo.get(before) == 0 ? work : 0;
         }
-        double canDo = s.coldShare * slots * seconds;
-        assertTrue(toCold > 0.1 * canDo && toCold < s.fallMultiple * canDo, toCold + " s of work to one that can do " + canDo);
+        double canDo = s.coldCapacityShare * slots * seconds;
+        assertTrue(toCold > 0.1 * canDo && toCold < s.collapseLoadFactor * canDo, toCold + " s of work to one that can do " + canDo);
     }
 }
--- a/core/src/test/java/hookweir/OldFiguresTest.java
+++ b/core/src/test/java/hookweir/OldFiguresTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -18,7 +18,7 @@
 
     /** All workers had room when last heard; since then all but the roomy ones have filled up. The job's probes so far. */
     private static int[] looksAndTarget(int roomy, int seed) {
-        Contract.Settings s = probing(Effect.SAFE);
+        Contract.Settings s = probing(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, seed);
         h.fleet(workers(WORKERS));
         for (int w = 0; w < WORKERS; w++) {
@@ -54,7 +54,7 @@
     private static int sentToFirst(Contract.Outcome check, double errorsFirst, double errorsSecond) {
         int first = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            Contract.Settings s = probing(Effect.SAFE);
+            Contract.Settings s = probing(Idempotency.IDEMPOTENT);
             RecordingHost h = RecordingHost.with(s, seed);
             h.fleet(workers(2));
             answer(h, 0, Contract.Outcome.OK, errorsFirst);
@@ -86,6 +86,6 @@
     private static void answer(RecordingHost h, int worker, Contract.Outcome check, double errors) {
         Contract.Report r = RecordingHost.free(4);
         r.errorsPerS = errors;
-        h.policy.probed(h.now, worker, check, 500, check == Contract.Outcome.OK ? r : null);
+        h.policy.probeEnded(h.now, worker, check, 500, check == Contract.Outcome.OK ? r : null);
     }
 }
--- a/core/src/test/java/hookweir/OwnJobsTest.java
+++ b/core/src/test/java/hookweir/OwnJobsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +26,7 @@
 
     @Test
     void longJobsOfItsOwnFillAWorkerUntilTheyEnd() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = filledByOwnJobs(s, SLOTS);
         h.pass(4_000_000);
         h.take(9, s);
@@ -38,7 +38,7 @@
 
     @Test
     void whatEndedSinceAReportFreesItsSlotAtOnce() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = filledByOwnJobs(s, SLOTS);
         h.pass(500_000);
         h.report(1, 0); // these four, and nobody else's
@@ -50,7 +50,7 @@
 
     @Test
     void jobsOfOthersStandInAReportBesideOwnOnes() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = filledByOwnJobs(s, 1);
         h.pass(500_000);
         h.report(1, 0); // one own, three of others
@@ -63,7 +63,7 @@
     /** Over two workers: one that own jobs nearly fill draws by the room that they leave, with no report of them at all. */
     @Test
     void theDrawSeesOwnJobsBeforeAnyReportDoes() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         int crowded = 0;
         int seeds = 400;
         for (int seed = 0; seed < seeds; seed++) {
--- a/core/src/test/java/hookweir/PolicyBoundsTest.java
+++ b/core/src/test/java/hookweir/PolicyBoundsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,8 +22,8 @@
      */
     @Test
     void aJobWithdrawnWhileLookingLeavesTheLookersWhenAWorkerIsStruck() throws ReflectiveOperationException {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.probes = true;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
         RecordingHost h = RecordingHost.with(s, 3);
         int rounds = 200;
         for (int round = 0; round < rounds; round++) {
@@ -36,12 +36,12 @@
             h.probes.clear();
             h.take(round + 1, s);
             assertTrue(h.probes.size() > 0, "the job looks before it is sent");
-            h.policy.withdrawn(h.now, round + 1);
+            h.policy.requestAbandoned(h.now, round + 1);
             Contract.Worker struck = worker(h.probes.get(0));
-            struck.state = Contract.State.GONE;
+            struck.state = Contract.WorkerState.GONE;
             h.change(struck);
             for (int w : h.probes) {
-                h.policy.probed(h.now, w, Outcome.OK, 500, RecordingHost.free(8));
+                h.policy.probeEnded(h.now, w, Outcome.OK, 500, RecordingHost.free(8));
             }
             h.pass(1_000_000);
         }
--- a/core/src/test/java/hookweir/PolicyDrawTest.java
+++ b/core/src/test/java/hookweir/PolicyDrawTest.java
@@ -16,7 +16,7 @@
     private static double share(int worker, double[] free, java.util.function.Consumer<RecordingHost> prepare) {
         int hits = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
-            Contract.Settings s = settings(Contract.Effect.SAFE);
+            Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
             RecordingHost h = RecordingHost.with(s, seed * 7919L);
             h.fleet(RecordingHost.workers(free.length));
             h.report(0, 8);
@@ -41,7 +41,7 @@
 
     @Test
     void unheardWorkersDrawEvenly() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         int first = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -56,14 +56,14 @@
     void ownSendsCountAsFillAtOnce() {
         int other = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
-            Contract.Settings s = settings(Contract.Effect.SAFE);
+            Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
             RecordingHost h = RecordingHost.with(s, seed);
             h.fleet(worker(1), worker(2));
             h.report(1, 4);
             h.report(2, 4);
             Contract.Request wide = h.request(1, s);
             wide.slots = 3;
-            h.policy.request(h.now, wide);
+            h.policy.requestAccepted(h.now, wide);
             h.take(2, s);
             other += h.sentTo.get(1).equals(h.sentTo.get(0)) ? 0 : 1;
         }
@@ -72,7 +72,7 @@
 
     @Test
     void withNoFiguresAtAllOldSendsAreForgotten() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 1);
         h.fleet(worker(1));
         for (int i = 0; i < 20; i++) {
@@ -99,7 +99,7 @@
 
     @Test
     void allFullAndTimeLeftIsHeldAndThenAnswered() {
-        Contract.Settings s = settings(Contract.Effect.UNSAFE);
+        Contract.Settings s = settings(Contract.Idempotency.NON_IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 3);
         h.fleet(worker(1), worker(2));
         for (int w = 1; w <= 2; w++) {
@@ -115,9 +115,9 @@
 
     @Test
     void fullWorkersAreCheckedSooner() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = true;
-        s.reports = Contract.ReportsBy.PROBES;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
+        s.loadReportSource = Contract.LoadReportSource.PROBES;
         RecordingHost h = RecordingHost.with(s, 5);
         h.fleet(worker(1), worker(2));
         h.report(1, 8);
@@ -137,7 +137,7 @@
 
     @Test
     void aKeyKeepsToItsFirstWorkerFromEveryDispatcher() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         int[] hits = new int[10];
         for (int seed = 0; seed < DRAWS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -148,7 +148,7 @@
             h.fleet(fleet);
             Contract.Request r = h.request(1, s);
             r.key = 42;
-            h.policy.request(h.now, r);
+            h.policy.requestAccepted(h.now, r);
             hits[h.sentTo.get(0)]++;
         }
         assertTrue(java.util.Arrays.stream(hits).max().getAsInt() > DRAWS * 0.6);
@@ -161,8 +161,8 @@
     }
 
     private static double abroad(double price) {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.priceCrossZone = price;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.crossZonePrice = price;
         int abroad = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -177,8 +177,8 @@
 
     @Test
     void aHomeFullerThanTheFleetSpills() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.priceCrossZone = 0.1;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.crossZonePrice = 0.1;
         int abroad = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
@@ -200,18 +200,18 @@
     void slowKindsDrawLessAsOwnServedTimesTell() {
         int slow = 0;
         for (int seed = 0; seed < DRAWS; seed++) {
-            Contract.Settings s = settings(Contract.Effect.SAFE);
+            Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
             RecordingHost h = RecordingHost.with(s, seed);
             Contract.Worker slowKind = worker(2);
             slowKind.kind = 1;
             h.fleet(worker(1), slowKind);
             for (int i = 0; i < 60; i++) {
                 Contract.Request r = h.request(i, s);
-                r.hintUs = 100_000;
-                h.policy.request(h.now, r);
+                r.costHintUs = 100_000;
+                h.policy.requestAccepted(h.now, r);
                 int w = h.sentTo.get(h.sentTo.size() - 1);
                 h.pass(400_000);
-                h.policy.outcome(h.now, i, 0, w, Contract.Outcome.OK, w == 1 ? 50_000 : 400_000, true, null);
+                h.policy.attemptEnded(h.now, i, 0, w, Contract.Outcome.OK, w == 1 ? 50_000 : 400_000, true, null);
                 h.pass(5_000_000);
             }
             h.take(100, s);
@@ -222,14 +222,14 @@
 
     @Test
     void noisyAndBrokenFiguresDoNoHarm() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 1);
         h.fleet(worker(1), worker(2));
         h.report(1, Double.NaN);
         h.report(2, -3);
         Contract.Report r = RecordingHost.free(Double.NaN);
         r.utilization = 1.7;
-        h.policy.probed(h.now, 1, Contract.Outcome.OK, 10, r);
+        h.policy.probeEnded(h.now, 1, Contract.Outcome.OK, 10, r);
         h.take(1, s);
         h.pass(s.classes.get(0).deadlineUs);
         assertTrue(h.count("send") + h.count("refuse") > 0);
@@ -237,10 +237,10 @@
 
     @Test
     void candidatesAreLookedAtBeforeTheDraw() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = true;
-        s.reports = Contract.ReportsBy.PROBES;
-        s.priceProbe = 0.002;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
+        s.loadReportSource = Contract.LoadReportSource.PROBES;
+        s.probePrice = 0.002;
         RecordingHost h = RecordingHost.with(s, 9);
         h.fleet(worker(1), worker(2), worker(3), worker(4));
         h.take(1, s);
@@ -257,14 +257,14 @@
 
     /** Probes made for the next job after reports of 6 s, 0.5 s apart, each of which tells these figures and so much more in hand. */
     private static int looksAfter(double utilization, double inHand, double step) {
-        Contract.Settings s = RecordingHost.probing(Contract.Effect.SAFE);
+        Contract.Settings s = RecordingHost.probing(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 5);
         h.fleet(worker(1), worker(2));
         for (int i = 0; i < 12; i++) {
             Contract.Report r = RecordingHost.free(2);
             r.utilization = utilization;
-            r.inHand = inHand + i * step;
-            h.policy.probed(h.now, 1, Contract.Outcome.OK, 500, r);
+            r.outstanding = inHand + i * step;
+            h.policy.probeEnded(h.now, 1, Contract.Outcome.OK, 500, r);
             h.pass(500_000);
         }
         int before = h.probes.size();
@@ -284,9 +284,9 @@
 
     @Test
     void aLookThatIsNotAnsweredHoldsNobodyUp() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
-        s.probes = true;
-        s.reports = Contract.ReportsBy.PROBES;
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
+        s.loadReportSource = Contract.LoadReportSource.PROBES;
         RecordingHost h = RecordingHost.with(s, 9);
         h.fleet(worker(1), worker(2));
         h.take(1, s);
@@ -297,7 +297,7 @@
     /** A worker that fails its jobs at once always read roomy, and drew a full share of them. */
     @Test
     void fastErrorsAreNoFreeRoom() {
-        Contract.Settings s = settings(Contract.Effect.SAFE);
+        Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         int drawn = 0;
         for (int seed = 0; seed < 50; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
--- a/core/src/test/java/hookweir/PolicyRulesTest.java
+++ b/core/src/test/java/hookweir/PolicyRulesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
 import java.util.HashSet;
 import java.util.Set;
@@ -25,7 +25,7 @@
         "KEYED, TIMEOUT, again",
         "UNSAFE, FULL, again", "UNSAFE, CONNECT_FAILED, again", "UNSAFE, MOOT, again", "UNSAFE, ERROR, fail",
         "UNSAFE, RESET, fail", "UNSAFE, TIMEOUT, fail", "UNSAFE, CANCELLED, fail"})
-    void afterAnOutcome(Effect effect, Outcome outcome, String then) {
+    void afterAnOutcome(Idempotency effect, Outcome outcome, String then) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 11);
         h.fleet(worker(1), worker(2), worker(3));
@@ -39,22 +39,22 @@
     /** A connection that takes its time brought a repeat beyond its window. */
     @Test
     void aKeyedRepeatWhoseConnectionMayComeUpBeyondItsWindowIsNotSent() {
-        Contract.Settings s = settings(Effect.KEYED);
-        s.connectWithinUs = 500_000;
+        Contract.Settings s = settings(Idempotency.KEYED);
+        s.connectTimeoutUs = 500_000;
         for (long late = 1_300_000; late <= 1_900_000; late += 100_000) {
             RecordingHost h = RecordingHost.with(s, 11);
             h.fleet(worker(1), worker(2), worker(3));
             h.take(1, s);
             h.pass(late);
             h.ends(1, 0, h.sentTo.get(0), Outcome.RESET, false);
-            boolean again = late + s.connectWithinUs < 15 * s.classes.get(0).windowUs / 16;
+            boolean again = late + s.connectTimeoutUs < 15 * s.classes.get(0).dedupWindowUs / 16;
             assertEquals(again ? 2 : 1, h.count("send"), "after " + late + " us");
         }
     }
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsCellAndWindow() {
-        Contract.Settings s = settings(Effect.KEYED);
+        Contract.Settings s = settings(Idempotency.KEYED);
         for (int seed = 0; seed < 40; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
             Contract.Worker[] fleet = new Contract.Worker[6];
@@ -75,7 +75,7 @@
 
     @Test
     void anUnsafeRequestThatProvablyNeverRanIsRefusedWhenAttemptsAreUsedUp() {
-        Contract.Settings s = settings(Effect.UNSAFE);
+        Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 2);
         h.fleet(worker(1), worker(2), worker(3));
         h.take(1, s);
@@ -92,7 +92,7 @@
 
     @ParameterizedTest
     @CsvSource({"SAFE, refuse", "KEYED, fail", "UNSAFE, fail"})
-    void aWorkerThatNeverAnswersDoesNotKeepTheClientWaiting(Effect effect, String answer) {
+    void aWorkerThatNeverAnswersDoesNotKeepTheClientWaiting(Idempotency effect, String answer) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 4);
         h.fleet(worker(1));
@@ -107,14 +107,14 @@
 
     @Test
     void nothingFollowsAClosedOrWithdrawnRequest() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 4);
         h.fleet(worker(1), worker(2));
         h.take(1, s);
         h.ends(1, 0, h.sentTo.get(0), Outcome.OK, true);
         h.take(2, s);
-        h.policy.withdrawn(h.now, 2);
-        h.policy.withdrawn(h.now, 77);
+        h.policy.requestAbandoned(h.now, 2);
+        h.policy.requestAbandoned(h.now, 77);
         h.ends(2, 0, h.sentTo.get(1), Outcome.RESET, true);
         h.pass(20_000_000);
         assertEquals(2, h.count("send"));
@@ -123,13 +123,13 @@
 
     @Test
     void nothingGoesToAWorkerThatDrainsOrIsGone() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 4);
         h.fleet(worker(1), worker(2), worker(3));
         Contract.Worker draining = worker(1);
-        draining.state = Contract.State.DRAINING;
+        draining.state = Contract.WorkerState.DRAINING;
         Contract.Worker gone = worker(2);
-        gone.state = Contract.State.GONE;
+        gone.state = Contract.WorkerState.GONE;
         h.change(draining, gone);
         for (int i = 0; i < 60; i++) {
             h.take(i, s);
@@ -146,8 +146,8 @@
 
     @Test
     void aColdWorkerGetsItsSureShareAndRepeatsDoNotAdd() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.coldShare = 0.2;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.coldCapacityShare = 0.2;
         int cold = 0;
         int repeats = 0;
         int n = 3000;
@@ -168,9 +168,9 @@
                 h.ends(i, 0, 0, Outcome.OK, true);
             }
             Contract.Request again = h.request(n + i, s);
-            again.repeat = true;
+            again.clientRetry = true;
             before = h.sentTo.size();
-            h.policy.request(h.now, again);
+            h.policy.requestAccepted(h.now, again);
             repeats += h.sentTo.size() > before && h.sentTo.get(before) == 0 ? 1 : 0;
         }
         assertEquals(0, repeats, "a client's repeat draws no lot");
@@ -181,14 +181,14 @@
 
     @Test
     void aBlockedCallGoesElsewhereAndAFailedWorkerIsSetAside() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1), worker(2), worker(3));
         h.take(1, s);
         int first = h.sentTo.get(0);
         h.ends(1, 0, first, Outcome.CONNECT_FAILED, false);
         assertFalse(h.sentTo.get(1) == first);
-        assertEquals(1, h.policy.avoided(h.now));
+        assertEquals(1, h.policy.excludedWorkerCount(h.now));
         h.sentTo.clear();
         for (int i = 2; i < 40; i++) {
             h.take(i, s);
@@ -200,18 +200,18 @@
             h.take(i, s);
         }
         assertTrue(h.sentTo.contains(first), "and taken back");
-        assertEquals(0, h.policy.avoided(h.now));
+        assertEquals(0, h.policy.excludedWorkerCount(h.now));
         Contract.Worker leaver = worker(2);
-        leaver.state = Contract.State.DRAINING;
+        leaver.state = Contract.WorkerState.DRAINING;
         h.change(leaver);
-        assertEquals(1, h.policy.avoided(h.now));
+        assertEquals(1, h.policy.excludedWorkerCount(h.now));
     }
 
     /** New settings: fewer attempts hold at once, more only for new jobs, and no check goes out where probes are barred. */
     @Test
     void newSettingsHoldAndOldJobsKeepTheirClass() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.probes = true;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1), worker(2), worker(3));
         h.report(1, 8);
@@ -220,10 +220,10 @@
         h.take(1, s);
         h.pass(100_000);
         assertEquals(1, h.count("send 1 "));
-        Contract.Settings strict = settings(Effect.SAFE);
-        strict.classes.add(settings(Effect.UNSAFE).classes.get(0));
+        Contract.Settings strict = settings(Idempotency.IDEMPOTENT);
+        strict.classes.add(settings(Idempotency.NON_IDEMPOTENT).classes.get(0));
         strict.maxAttempts = 2;
-        h.policy.retune(h.now, strict);
+        h.policy.settingsChanged(h.now, strict);
         h.probes.clear();
         h.ends(1, 0, h.sentTo.get(0), Outcome.ERROR, false);
         h.pass(100_000);
@@ -235,22 +235,22 @@
         assertTrue(h.probes.isEmpty());
         Contract.Request r = h.request(2, strict);
         r.requestClass = 1;
-        h.policy.request(h.now, r);
+        h.policy.requestAccepted(h.now, r);
         h.ends(2, 0, h.sentTo.get(2), Outcome.ERROR, false);
         assertEquals(1, h.count("fail 2"));
     }
 
     @Test
     void lateWorkThatEarnsNothingIsRefusedNotSent() {
-        Contract.Settings s = settings(Effect.UNSAFE);
-        s.classes.get(0).lateWorth = 0;
+        Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
+        s.classes.get(0).lateValueShare = 0;
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1));
         h.report(1, 8);
         Contract.Request r = h.request(1, s);
-        r.giveUpAtUs = h.now + 3_000_000;
-        r.repeat = true;
-        h.policy.request(h.now, r);
+        r.deadlineAtUs = h.now + 3_000_000;
+        r.clientRetry = true;
+        h.policy.requestAccepted(h.now, r);
         assertEquals(1, h.count("refuse 1"));
         assertEquals(0, h.count("send"));
     }
@@ -258,30 +258,30 @@
     /** A client that names less time than its class has was taken for one that had waited, and refused on an idle fleet. */
     @Test
     void aClientInAHurryIsServedWhereThereIsRoom() {
-        Contract.Settings s = settings(Effect.UNSAFE);
-        s.classes.get(0).lateWorth = 0;
+        Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
+        s.classes.get(0).lateValueShare = 0;
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1));
         h.report(1, 64);
         for (int tenths = 2; tenths <= 20; tenths += 2) {
             Contract.Request r = h.request(tenths, s);
-            r.giveUpAtUs = h.now + s.classes.get(0).deadlineUs * tenths / 10;
-            h.policy.request(h.now, r);
+            r.deadlineAtUs = h.now + s.classes.get(0).deadlineUs * tenths / 10;
+            h.policy.requestAccepted(h.now, r);
             assertEquals(1, h.count("send " + tenths + " "), "deadline of " + tenths + " tenths");
             h.ends(tenths, 0, 1, Outcome.OK, true);
         }
         h.report(1, 0);
         Contract.Request late = h.request(99, s);
-        late.giveUpAtUs = h.now + s.classes.get(0).aimUs / 2;
-        h.policy.request(h.now, late);
+        late.deadlineAtUs = h.now + s.classes.get(0).softDeadlineUs / 2;
+        h.policy.requestAccepted(h.now, late);
         assertEquals(1, h.count("refuse 99"));
     }
 
     @Test
     void withoutAHintAHeldJobMustStartWithinThePlainAim() {
-        Contract.Settings s = settings(Effect.UNSAFE);
-        s.classes.get(0).lateWorth = 0;
-        s.classes.get(0).stretch = 2;
+        Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
+        s.classes.get(0).lateValueShare = 0;
+        s.classes.get(0).softDeadlineStretch = 2;
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1));
         h.report(1, 8);
@@ -300,15 +300,15 @@
 
     @Test
     void theListIsWatchedAndAskedAgainWithPauses() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.askForList = true;
-        s.askWithinUs = 10_000_000;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.pollList = true;
+        s.maxPollIntervalUs = 10_000_000;
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1));
         h.pass(2_600_000);
         assertEquals(1, h.count("watch true"));
         for (int i = 0; i < 5; i++) {
-            h.policy.fleetFailed(h.now);
+            h.policy.workerListFailed(h.now);
             int before = h.count("watch true");
             h.pass(100_000);
             assertEquals(before, h.count("watch true"), "not at once");
@@ -319,18 +319,18 @@
 
     @Test
     void impossibleWorldsStillAnswer() {
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             Contract.Settings s = settings(effect);
             RecordingHost h = RecordingHost.with(s, 8);
             h.fleet();
             h.take(1, s);
             Contract.Request past = h.request(2, s);
-            past.giveUpAtUs = h.now - 5;
-            h.policy.request(h.now, past);
+            past.deadlineAtUs = h.now - 5;
+            h.policy.requestAccepted(h.now, past);
             h.pass(s.classes.get(0).deadlineUs);
             assertEquals(2, h.count("refuse") + h.count("fail"), effect + " " + h.actions);
             Contract.Worker draining = worker(1);
-            draining.state = Contract.State.DRAINING;
+            draining.state = Contract.WorkerState.DRAINING;
             h.fleet(draining);
             h.take(3, s);
             h.pass(s.classes.get(0).deadlineUs);
@@ -351,11 +351,11 @@
 
     @Test
     void aBegunStreamIsLeftAlone() {
-        Contract.Settings s = settings(Effect.SAFE);
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 8);
         h.fleet(worker(1), worker(2));
         h.take(1, s);
-        h.policy.streaming(h.now, 1, 0);
+        h.policy.streamStarted(h.now, 1, 0);
         h.pass(s.classes.get(0).deadlineUs * 2);
         assertEquals(1, h.actions.size());
     }
@@ -363,18 +363,18 @@
     /** At a planned end a job too long to finish is refused at once, if that is harmless, and a new one too. */
     @ParameterizedTest
     @CsvSource({"SAFE, 9000000, 1, 1", "SAFE, 4000000, 0, 1", "SAFE, 100000, 0, 1", "UNSAFE, 9000000, 0, 0"})
-    void whoLeavesLetsLongJobsGo(Effect effect, long hintUs, int atOnce, int inTheEnd) {
+    void whoLeavesLetsLongJobsGo(Idempotency effect, long hintUs, int atOnce, int inTheEnd) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 4);
         h.fleet(worker(1));
         Contract.Request r = h.request(1, s);
-        r.hintUs = hintUs;
-        h.policy.request(h.now, r);
-        h.policy.leaving(h.now, h.now + 3_000_000);
+        r.costHintUs = hintUs;
+        h.policy.requestAccepted(h.now, r);
+        h.policy.shutdownStarted(h.now, h.now + 3_000_000);
         assertEquals(atOnce, h.count("refuse 1"));
         Contract.Request late = h.request(2, s);
-        late.hintUs = 9_000_000;
-        h.policy.request(h.now, late);
+        late.costHintUs = 9_000_000;
+        h.policy.requestAccepted(h.now, late);
         assertEquals(1, h.count("refuse 2"));
         h.pass(3_000_000);
         assertEquals(inTheEnd, h.count("refuse 1"));
--- a/core/src/test/java/hookweir/RecordingHost.java
+++ b/core/src/test/java/hookweir/RecordingHost.java
@@ -25,38 +25,38 @@
         while (!timers.isEmpty() && timers.firstKey() <= until) {
             now = Math.max(now, timers.firstKey());
             for (long token : timers.pollFirstEntry().getValue()) {
-                policy.timer(now, token);
+                policy.timerExpired(now, token);
             }
         }
         now = until;
     }
 
     void fleet(Contract.Worker... workers) {
-        policy.fleet(now, false, List.of(workers));
+        policy.workerListReceived(now, false, List.of(workers));
     }
 
     void change(Contract.Worker... workers) {
-        policy.fleet(now, true, List.of(workers));
+        policy.workerListReceived(now, true, List.of(workers));
     }
 
     /** Takes a request of class 0 that the client waits a whole deadline for. */
     Contract.Request request(int id, Contract.Settings settings) {
         Contract.Request r = new Contract.Request();
         r.id = id;
-        r.giveUpAtUs = now + settings.classes.get(0).deadlineUs;
+        r.deadlineAtUs = now + settings.classes.get(0).deadlineUs;
         return r;
     }
 
     void take(int id, Contract.Settings settings) {
-        policy.request(now, request(id, settings));
+        policy.requestAccepted(now, request(id, settings));
     }
 
     void report(int worker, double free) {
-        policy.probed(now, worker, Contract.Outcome.OK, 500, free(free));
+        policy.probeEnded(now, worker, Contract.Outcome.OK, 500, free(free));
     }
 
     void ends(int id, int attempt, int worker, Contract.Outcome outcome, boolean closed) {
-        policy.outcome(now, id, attempt, worker, outcome, 1000, closed, null);
+        policy.attemptEnded(now, id, attempt, worker, outcome, 1000, closed, null);
     }
 
     int count(String start) {
@@ -66,7 +66,7 @@
     static Contract.Report free(double slots) {
         Contract.Report r = new Contract.Report();
         r.clear();
-        r.free = slots;
+        r.freeSlots = slots;
         return r;
     }
 
@@ -77,30 +77,30 @@
     }
 
     /** One class with one second's aim and ten seconds' deadline; no probes, so that nothing is looked at. */
-    static Contract.Settings settings(Contract.Effect effect) {
+    static Contract.Settings settings(Contract.Idempotency effect) {
         Contract.Settings s = new Contract.Settings();
         Contract.RequestClass c = new Contract.RequestClass();
-        c.effect = effect;
-        c.scope = Contract.Scope.CELL;
-        c.aimUs = 1_000_000;
-        c.lateWorth = 0.5;
+        c.idempotency = effect;
+        c.dedupScope = Contract.DedupScope.CELL;
+        c.softDeadlineUs = 1_000_000;
+        c.lateValueShare = 0.5;
         c.deadlineUs = 10_000_000;
-        c.windowUs = 2_000_000;
+        c.dedupWindowUs = 2_000_000;
         s.classes.add(c);
         s.maxAttempts = 4;
-        s.cancels = true;
-        s.answerSlackUs = 20_000;
-        s.warmWithinUs = 10_000_000;
-        s.reports = Contract.ReportsBy.ANSWERS_AND_PROBES;
+        s.cancelAllowed = true;
+        s.responseSlackUs = 20_000;
+        s.warmUpUs = 10_000_000;
+        s.loadReportSource = Contract.LoadReportSource.RESPONSES_AND_PROBES;
         return s;
     }
 
     /** As {@link #settings}, with figures by probes alone, at a price that allows one look at a time. */
-    static Contract.Settings probing(Contract.Effect effect) {
+    static Contract.Settings probing(Contract.Idempotency effect) {
         Contract.Settings s = settings(effect);
-        s.probes = true;
-        s.reports = Contract.ReportsBy.PROBES;
-        s.priceProbe = 0.01;
+        s.probesAllowed = true;
+        s.loadReportSource = Contract.LoadReportSource.PROBES;
+        s.probePrice = 0.01;
         return s;
     }
 
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void refuse(int requestId, long comeBackUs) {
+    public void reject(int requestId, long comeBackUs) {
         actions.add("refuse " + requestId);
     }
 
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void timer(long token, long delayUs) {
+    public void startTimer(long token, long delayUs) {
         if (delayUs < 0) {
             throw new IllegalArgumentException("timer in the past");
         }
@@ -149,17 +149,17 @@
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchWorkerList(boolean on) {
         actions.add("watch " + on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchWorkerList() {
         actions.add("fetch");
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         actions.add("tell " + peer);
     }
 
--- a/core/src/test/java/hookweir/TimersInStepTest.java
+++ b/core/src/test/java/hookweir/TimersInStepTest.java
@@ -4,7 +4,7 @@
 import static hookweir.RecordingHost.worker;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -22,11 +22,11 @@
 
     @Test
     void checksAndCallsForTheListAreSpreadOverTime() {
-        Contract.Settings s = settings(Effect.SAFE);
-        s.probes = true;
-        s.askForList = true;
-        s.askWithinUs = 4_000_000;
-        s.dispatchers = DISPATCHERS;
+        Contract.Settings s = settings(Idempotency.IDEMPOTENT);
+        s.probesAllowed = true;
+        s.pollList = true;
+        s.maxPollIntervalUs = 4_000_000;
+        s.schedulerCount = DISPATCHERS;
         List<RecordingHost> hosts = new ArrayList<>();
         Contract.Worker[] fleet = new Contract.Worker[WORKERS];
         for (int w = 0; w < WORKERS; w++) {
--- a/core/src/test/java/hookweir/room/RoomTest.java
+++ b/core/src/test/java/hookweir/room/RoomTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.Contract.Effect;
+import hookweir.Contract.Idempotency;
 import hookweir.Contract.RequestClass;
 import hookweir.room.Room.Verdict;
 import java.util.ArrayDeque;
@@ -17,16 +17,16 @@
 class RoomTest {
     private static final int BIG = 60_000;
 
-    private static RequestClass of(Effect effect, double worth) {
+    private static RequestClass of(Idempotency effect, double worth) {
         RequestClass c = new RequestClass();
-        c.effect = effect;
-        c.worth = worth;
+        c.idempotency = effect;
+        c.value = worth;
         return c;
     }
 
     private static Room room(long bytes, int jobs) {
         Room room = new Room(bytes, jobs);
-        room.classes(List.of(of(Effect.UNSAFE, 1), of(Effect.SAFE, 1), of(Effect.SAFE, 5), of(Effect.KEYED, 1)));
+        room.classes(List.of(of(Idempotency.NON_IDEMPOTENT, 1), of(Idempotency.IDEMPOTENT, 1), of(Idempotency.IDEMPOTENT, 5), of(Idempotency.KEYED, 1)));
         return room;
     }
 
@@ -54,7 +54,7 @@
     @Test
     void oneClassHasAllOfIt() {
         Room room = new Room(1 << 24, 100);
-        room.classes(List.of(of(Effect.SAFE, 1)));
+        room.classes(List.of(of(Idempotency.IDEMPOTENT, 1)));
         assertEquals(100, jobsTaken(room, 0));
     }
 
--- a/lab/src/main/java/hookweir/lab/scale/HollowScheduler.java
+++ b/lab/src/main/java/hookweir/lab/scale/HollowScheduler.java
@@ -89,8 +89,8 @@
         room = new Room(HELD_BYTES, HELD_JOBS);
         room.descriptors(DESCRIPTORS);
         links = new LinkPool(queue, world.network, traffic, zone, room, this::accepted, () -> world.workers.size());
-        stopPolling = world.configuration.poll(() -> policy.retune(queue.nowUs(), settings));
-        policy.fleet(queue.nowUs(), false, List.of());
+        stopPolling = world.configuration.poll(() -> policy.settingsChanged(queue.nowUs(), settings));
+        policy.workerListReceived(queue.nowUs(), false, List.of());
         if (world.shape.mechanism() == Shape.Mechanism.PROBE_ALL) {
             queue.after(PROBE_ALL_US, this::probeAll);
         }
@@ -101,23 +101,23 @@
         Contract.Settings settings = new Contract.Settings();
         for (int kind : new int[] {-1, 1}) {
             Contract.RequestClass task = new Contract.RequestClass();
-            task.aimUs = Math.max(LEAST_AIM_US, (long) (AIM * shape.serviceMs() * 1000));
-            task.deadlineUs = 2 * task.aimUs;
-            task.kind = kind;
+            task.softDeadlineUs = Math.max(LEAST_AIM_US, (long) (AIM * shape.serviceMs() * 1000));
+            task.deadlineUs = 2 * task.softDeadlineUs;
+            task.requiredKind = kind;
             settings.classes.add(task);
         }
-        settings.me = number;
-        settings.dispatchers = shape.schedulers();
+        settings.schedulerIndex = number;
+        settings.schedulerCount = shape.schedulers();
         settings.zone = zone;
-        settings.askForList = true;
-        settings.askWithinUs = 4_000_000;
-        settings.connectWithinUs = 2 * LinkPool.DIAL_LIMIT_US;
+        settings.pollList = true;
+        settings.maxPollIntervalUs = 4_000_000;
+        settings.connectTimeoutUs = 2 * LinkPool.DIAL_LIMIT_US;
         settings.maxAttempts = MAX_ATTEMPTS;
-        settings.cancels = true;
-        settings.probes = true;
-        settings.comeBackAdvice = true;
-        settings.maxComeBackUs = 1_000_000;
-        settings.reports = Contract.ReportsBy.PROBES;
+        settings.cancelAllowed = true;
+        settings.probesAllowed = true;
+        settings.retryAfterAllowed = true;
+        settings.maxRetryAfterUs = 1_000_000;
+        settings.loadReportSource = Contract.LoadReportSource.PROBES;
         return settings;
     }
 
@@ -152,11 +152,11 @@
         request.requestClass = random.nextDouble() < Shape.ACCELERATOR_SHARE ? 1 : 0;
         Job job = new Job();
         job.giveUpAtUs = queue.nowUs() + settings.classes.get(request.requestClass).deadlineUs;
-        request.giveUpAtUs = job.giveUpAtUs;
+        request.deadlineAtUs = job.giveUpAtUs;
         jobs.put(request.id, job);
         world.figures.jobs++;
         traffic.message(Role.CLIENT, Role.SCHEDULER, MessageKind.CLIENT, HttpText.job("app.svc", settings.classes.get(0).deadlineUs / 1000));
-        policy.request(queue.nowUs(), request);
+        policy.requestAccepted(queue.nowUs(), request);
         later(gapUs(), this::arrival);
     }
 
@@ -168,7 +168,7 @@
     @Override
     public void listed(boolean delta, List<Contract.Worker> entries) {
         if (!dead) {
-            policy.fleet(queue.nowUs(), delta, entries);
+            policy.workerListReceived(queue.nowUs(), delta, entries);
         }
     }
 
@@ -308,7 +308,7 @@
         if (outcome == Outcome.OK && !job.closed) {
             close(job, HttpText.result());
         }
-        policy.outcome(queue.nowUs(), attempt.request, attempt.number, attempt.worker.id, outcome, queue.nowUs() - attempt.startUs, job.closed, null);
+        policy.attemptEnded(queue.nowUs(), attempt.request, attempt.number, attempt.worker.id, outcome, queue.nowUs() - attempt.startUs, job.closed, null);
     }
 
     private void close(Job job, int answerBytes) {
@@ -317,7 +317,7 @@
     }
 
     @Override
-    public void refuse(int requestId, long comeBackUs) {
+    public void reject(int requestId, long comeBackUs) {
         world.figures.refused++;
         close(jobs.get(requestId), HttpText.refusal().length());
     }
@@ -339,7 +339,7 @@
 
     private void ask(HollowWorker worker, LinkPool.Link link, long startUs) {
         if (link == null) {
-            later(0, () -> policy.probed(queue.nowUs(), worker.id, Outcome.CONNECT_FAILED, queue.nowUs() - startUs, null));
+            later(0, () -> policy.probeEnded(queue.nowUs(), worker.id, Outcome.CONNECT_FAILED, queue.nowUs() - startUs, null));
             return;
         }
         world.figures.probes++;
@@ -347,7 +347,7 @@
         if (!world.network.reaches(zone, worker)) {
             traffic.message(Role.SCHEDULER, Role.WORKER, MessageKind.PROBE, request);
             links.end(link);
-            later(PROBE_LIMIT_US, () -> policy.probed(queue.nowUs(), worker.id, Outcome.TIMEOUT, PROBE_LIMIT_US, null));
+            later(PROBE_LIMIT_US, () -> policy.probeEnded(queue.nowUs(), worker.id, Outcome.TIMEOUT, PROBE_LIMIT_US, null));
             return;
         }
         long oneWay = world.network.oneWayUs(zone, worker.zone);
@@ -360,19 +360,19 @@
                 figureUs[worker.id] = madeUs;
                 Contract.Report report = new Contract.Report();
                 report.clear();
-                report.free = free;
-                policy.probed(queue.nowUs(), worker.id, Outcome.OK, queue.nowUs() - startUs, report);
+                report.freeSlots = free;
+                policy.probeEnded(queue.nowUs(), worker.id, Outcome.OK, queue.nowUs() - startUs, report);
             });
         });
     }
 
     @Override
-    public void timer(long token, long delayUs) {
-        later(delayUs, () -> policy.timer(queue.nowUs(), token));
+    public void startTimer(long token, long delayUs) {
+        later(delayUs, () -> policy.timerExpired(queue.nowUs(), token));
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchWorkerList(boolean on) {
         world.list.forget(this);
         if (on) {
             world.list.watch(this);
@@ -380,12 +380,12 @@
     }
 
     @Override
-    public void fetchList() {
-        watchList(true);
+    public void fetchWorkerList() {
+        watchWorkerList(true);
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         // schedulers do not speak to each other on sockets
     }
 
--- a/lab/src/main/java/hookweir/lab/scale/HollowWorker.java
+++ b/lab/src/main/java/hookweir/lab/scale/HollowWorker.java
@@ -38,11 +38,11 @@
         slots = kind == 1 ? ACCELERATORS : PLAIN_SLOTS;
         name = String.format(Locale.ROOT, "s-%08x", id);
         host = "10." + (1 + zone) + "." + (id >> 8) + "." + (id & 0xff) + ":8080";
-        list(Contract.State.READY, 0);
+        list(Contract.WorkerState.READY, 0);
     }
 
     /** Changes its entry in the list. */
-    void list(Contract.State state, long startedAtUs) {
+    void list(Contract.WorkerState state, long startedAtUs) {
         listed = new Contract.Worker();
         listed.id = id;
         listed.zone = zone;
--- a/lab/src/main/java/hookweir/lab/scale/World.java
+++ b/lab/src/main/java/hookweir/lab/scale/World.java
@@ -104,9 +104,9 @@
             return;
         }
         worker.draining = true;
-        tell(List.of(worker), Contract.State.DRAINING);
+        tell(List.of(worker), Contract.WorkerState.DRAINING);
         queue.after(DRAIN_US, () -> {
-            tell(List.of(worker), Contract.State.GONE);
+            tell(List.of(worker), Contract.WorkerState.GONE);
             comeBack(List.of(worker));
         });
     }
@@ -116,12 +116,12 @@
             worker.restart();
             worker.silent = false;
             worker.draining = false;
-            worker.list(Contract.State.READY, queue.nowUs());
+            worker.list(Contract.WorkerState.READY, queue.nowUs());
         }
         list.changed(back);
     }
 
-    private void tell(List<HollowWorker> changed, Contract.State state) {
+    private void tell(List<HollowWorker> changed, Contract.WorkerState state) {
         changed.forEach(worker -> worker.list(state, worker.listed().startedAtUs));
         list.changed(changed);
     }
@@ -150,6 +150,6 @@
 
     private void silence(List<HollowWorker> failed) {
         failed.forEach(worker -> worker.silent = true);
-        queue.after(DETECTED_US, () -> tell(failed, Contract.State.GONE));
+        queue.after(DETECTED_US, () -> tell(failed, Contract.WorkerState.GONE));
     }
 }
--- a/lab/src/test/java/hookweir/lab/check/PolicyWorld.java
+++ b/lab/src/test/java/hookweir/lab/check/PolicyWorld.java
@@ -51,21 +51,21 @@
         random = new Random(seed);
         for (String name : NAMES) {
             Contract.RequestClass c = new Contract.RequestClass();
-            c.effect = switch (name) {
-                case "billing-post" -> Contract.Effect.UNSAFE;
-                case "load-order" -> Contract.Effect.KEYED;
-                default -> Contract.Effect.SAFE;
+            c.idempotency = switch (name) {
+                case "billing-post" -> Contract.Idempotency.NON_IDEMPOTENT;
+                case "load-order" -> Contract.Idempotency.KEYED;
+                default -> Contract.Idempotency.IDEMPOTENT;
             };
-            c.scope = Contract.Scope.ZONE;
-            c.aimUs = 1_000_000;
+            c.dedupScope = Contract.DedupScope.ZONE;
+            c.softDeadlineUs = 1_000_000;
             c.deadlineUs = 4_000_000;
-            c.windowUs = 1_000_000;
+            c.dedupWindowUs = 1_000_000;
             settings.classes.add(c);
         }
         settings.maxAttempts = 5;
-        settings.cancels = true;
+        settings.cancelAllowed = true;
         settings.tickUs = 1000;
-        settings.reports = Contract.ReportsBy.ANSWERS_AND_PROBES;
+        settings.loadReportSource = Contract.LoadReportSource.RESPONSES_AND_PROBES;
         asked = new boolean[requests + 1];
         answered = new boolean[requests + 1];
         attempts = new int[requests + 1];
@@ -93,7 +93,7 @@
     private void begin() {
         seen("\"ev\":\"life\",\"scheduler\":\"n1/" + life + "\",\"how\":\"start\"");
         policy = new Policy(settings, seed + life, this);
-        policy.fleet(now, false, fleet);
+        policy.workerListReceived(now, false, fleet);
     }
 
     /** The next life knows the list as the last one had it, and nothing else. */
@@ -134,8 +134,8 @@
         r.requestClass = random.nextInt(NAMES.length);
         kindOf[id] = r.requestClass;
         asked[id] = true;
-        r.hintUs = 200_000;
-        r.giveUpAtUs = now + settings.classes.get(r.requestClass).deadlineUs;
+        r.costHintUs = 200_000;
+        r.deadlineAtUs = now + settings.classes.get(r.requestClass).deadlineUs;
         seen("\"ev\":\"ask\",\"id\":\"r" + id + "\",\"kind\":\"" + NAMES[r.requestClass]
             + "\",\"deadline_ms\":" + settings.classes.get(r.requestClass).deadlineUs / 1000
             + ",\"scheduler\":\"n1/" + life + "\",\"sum\":\"" + id + "\"");
@@ -146,18 +146,18 @@
                     answered[id] = true;
                     seen("\"ev\":\"gone\",\"id\":\"r" + id + "\"");
                     if (by == life) {
-                        policy.withdrawn(now, id);
+                        policy.requestAbandoned(now, id);
                     }
                 }
             });
         }
-        policy.request(now, r);
+        policy.requestAccepted(now, r);
     }
 
     private void drain(Contract.Worker w) {
-        w.state = Contract.State.DRAINING;
+        w.state = Contract.WorkerState.DRAINING;
         seen("\"ev\":\"drain\",\"worker\":\"s-" + w.id + "\",\"scheduler\":\"n1/" + life + "\"");
-        policy.fleet(now, true, List.of(w));
+        policy.workerListReceived(now, true, List.of(w));
     }
 
     private void answer(int id, int status, String body) {
@@ -221,12 +221,12 @@
         }
         Contract.Report load = new Contract.Report();
         load.clear();
-        load.free = Math.max(0, 4 - holds[worker]);
-        policy.outcome(now, id, attempt, worker, o, elapsedUs, closed, load);
+        load.freeSlots = Math.max(0, 4 - holds[worker]);
+        policy.attemptEnded(now, id, attempt, worker, o, elapsedUs, closed, load);
     }
 
     @Override
-    public void refuse(int requestId, long comeBackUs) {
+    public void reject(int requestId, long comeBackUs) {
         if (flaw == Flaw.FORGETS) {
             return;
         }
@@ -251,7 +251,7 @@
         int by = life;
         at(now, () -> {
             if (by == life) {
-                policy.outcome(now, requestId, attempt, worker, Outcome.CANCELLED, 0, true, null);
+                policy.attemptEnded(now, requestId, attempt, worker, Outcome.CANCELLED, 0, true, null);
             }
         });
     }
@@ -261,25 +261,25 @@
     }
 
     @Override
-    public void timer(long token, long delayUs) {
+    public void startTimer(long token, long delayUs) {
         int by = life;
         at(now + delayUs, () -> {
             if (by == life) {
-                policy.timer(now, token);
+                policy.timerExpired(now, token);
             }
         });
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchWorkerList(boolean on) {
     }
 
     @Override
-    public void fetchList() {
+    public void fetchWorkerList() {
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
     }
 
     @Override
--- a/node/src/main/java/hookweir/adapter/Session.java
+++ b/node/src/main/java/hookweir/adapter/Session.java
@@ -5,8 +5,8 @@
 import hookweir.Contract.Report;
 import hookweir.Contract.Request;
 import hookweir.Contract.Settings;
-import hookweir.Contract.State;
 import hookweir.Contract.Worker;
+import hookweir.Contract.WorkerState;
 import hookweir.Policy;
 import hookweir.config.ReportFields;
 import java.io.IOException;
@@ -94,7 +94,7 @@
                 in.skip(4);
                 int attempt = in.u16();
                 in.skip(4);
-                guard(who, () -> it.decisions.streaming(now, id, attempt));
+                guard(who, () -> it.decisions.streamStarted(now, id, attempt));
             }
             case 2 -> incoming(who, it);
             case 3 -> {
@@ -103,24 +103,24 @@
                 int worker = in.i32();
                 int topic = in.u8();
                 float share = in.f32();
-                guard(who, () -> it.decisions.progress(now, id, attempt, worker, topic == 1 ? 0 : share));
+                guard(who, () -> it.decisions.progressReported(now, id, attempt, worker, topic == 1 ? 0 : share));
             }
             case 4 -> {
                 int worker = in.i32();
                 long elapsed = in.u32();
                 Outcome outcome = outcome();
                 Report load = load(it);
-                guard(who, () -> it.decisions.probed(now, worker, outcome, elapsed, load));
+                guard(who, () -> it.decisions.probeEnded(now, worker, outcome, elapsed, load));
             }
             case 6 -> instances.remove(who);
             case 7 -> {
                 long token = in.i64();
-                guard(who, () -> it.decisions.timer(now, token));
+                guard(who, () -> it.decisions.timerExpired(now, token));
             }
             case 9 -> {
                 int sender = in.i32();
                 byte[] body = in.bytes(in.u16());
-                guard(who, () -> it.decisions.peer(now, sender, body));
+                guard(who, () -> it.decisions.peerMessageReceived(now, sender, body));
             }
             case 10 -> {
                 int id = in.i32();
@@ -131,12 +131,12 @@
                 boolean closed = in.u8() != 0;
                 in.skip(4);
                 Report load = load(it);
-                guard(who, () -> it.decisions.outcome(now, id, attempt, worker, outcome, elapsed, closed, load));
+                guard(who, () -> it.decisions.attemptEnded(now, id, attempt, worker, outcome, elapsed, closed, load));
             }
             case 11 -> targets(who, it);
             case 12 -> {
                 int id = in.i32();
-                guard(who, () -> it.decisions.withdrawn(now, id));
+                guard(who, () -> it.decisions.requestAbandoned(now, id));
             }
             default -> throw new BadInput("unknown event code " + code, at);
         }
@@ -171,7 +171,7 @@
             if (state > 2) {
                 throw new BadInput("unknown worker state " + state, entryAt + 16);
             }
-            w.state = state == 1 ? State.READY : state == 0 ? State.DRAINING : State.GONE;
+            w.state = state == 1 ? WorkerState.READY : state == 0 ? WorkerState.DRAINING : WorkerState.GONE;
             w.size = in.f32();
             w.zone = in.u16();
             entries.add(w);
@@ -185,7 +185,7 @@
         in.skip(4);
         int scope = in.u8();
         if (scope == 3) {
-            guard(who, () -> it.decisions.fleetFailed(now));
+            guard(who, () -> it.decisions.workerListFailed(now));
             return;
         }
         if (scope > 3) {
@@ -195,7 +195,7 @@
         if (entries == null) {
             throw new BadInput("list number " + number + " was not defined", at);
         }
-        guard(who, () -> it.decisions.fleet(now, scope == 2, entries));
+        guard(who, () -> it.decisions.workerListReceived(now, scope == 2, entries));
     }
 
     private void incoming(int who, Instance it) throws BadInput {
@@ -203,15 +203,15 @@
         request.id = in.i32();
         long hint = in.u32();
         int bits = in.u16();
-        request.hintUs = (bits & 1) != 0 ? hint : 0;
-        request.repeat = (bits & 2) != 0;
+        request.costHintUs = (bits & 1) != 0 ? hint : 0;
+        request.clientRetry = (bits & 2) != 0;
         request.requestClass = in.u16();
         request.slots = in.f32();
         request.tenant = in.i32();
         request.key = in.i64();
         request.memory = in.f32();
-        request.giveUpAtUs = in.i64();
-        guard(who, () -> it.decisions.request(now, request));
+        request.deadlineAtUs = in.i64();
+        guard(who, () -> it.decisions.requestAccepted(now, request));
     }
 
     private Outcome outcome() throws BadInput {
--- a/node/src/main/java/hookweir/adapter/WireHost.java
+++ b/node/src/main/java/hookweir/adapter/WireHost.java
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public void refuse(int requestId, long comeBackUs) {
+    public void reject(int requestId, long comeBackUs) {
         out.record(11, who).i32(requestId).time32(comeBackUs);
     }
 
@@ -38,23 +38,23 @@
     }
 
     @Override
-    public void timer(long token, long delayUs) {
+    public void startTimer(long token, long delayUs) {
         out.record(2, who).i64(token).time32(delayUs);
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchWorkerList(boolean on) {
         out.record(5, who).u8(on ? 1 : 0);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchWorkerList() {
         out.record(12, who);
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
-        out.record(3, who).u16(peer == Contract.EVERYBODY ? 0xffff : peer).u16(body.length)
+    public void sendToPeer(int peer, byte[] body) {
+        out.record(3, who).u16(peer == Contract.ALL_PEERS ? 0xffff : peer).u16(body.length)
             .bytes(body, 0, body.length);
     }
 
--- a/node/src/main/java/hookweir/config/ConfigReader.java
+++ b/node/src/main/java/hookweir/config/ConfigReader.java
@@ -109,7 +109,7 @@
                 throw new BadSetting("classes." + i + ".deadline_us", "must be above 0");
             }
         }
-        for (int i = 0; i < settings.settings.tenantRate.length; i++) {
+        for (int i = 0; i < settings.settings.tenantRatePerS.length; i++) {
             if (!settings.tenantNumbers.containsValue(i)) {
                 throw new BadSetting("orgs." + i + ".name", "is missing"); // clients' requests say whose they are by it
             }
--- a/node/src/main/java/hookweir/config/ReportFields.java
+++ b/node/src/main/java/hookweir/config/ReportFields.java
@@ -10,12 +10,12 @@
     /** Sets one figure; false where the module knows none of that name. */
     public static boolean set(Report report, String name, double v) {
         switch (name) {
-            case "x0" -> report.free = v;
+            case "x0" -> report.freeSlots = v;
             case "x1" -> report.freeMemory = v;
             case "utilization" -> report.utilization = v;
-            case "recent_ms" -> report.serviceMs = v;
-            case "outstanding" -> report.inHand = v;
-            case "backlog" -> report.waiting = v;
+            case "recent_ms" -> report.serviceTimeMs = v;
+            case "outstanding" -> report.outstanding = v;
+            case "backlog" -> report.queued = v;
             case "errors_per_s" -> report.errorsPerS = v;
             default -> {
                 return false;
--- a/node/src/main/java/hookweir/config/SettingsMapping.java
+++ b/node/src/main/java/hookweir/config/SettingsMapping.java
@@ -1,11 +1,11 @@
 package hookweir.config;
 
-import hookweir.Contract.Effect;
-import hookweir.Contract.ReportsBy;
+import hookweir.Contract.DedupScope;
+import hookweir.Contract.Idempotency;
+import hookweir.Contract.LoadReportSource;
 import hookweir.Contract.RequestClass;
-import hookweir.Contract.Scope;
 import hookweir.Contract.Settings;
-import hookweir.Contract.SizeFigure;
+import hookweir.Contract.SizeMetric;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -58,54 +58,54 @@
             classNumbers.put(classNames.get(i), i);
         }
         n = count("orgs.count");
-        s.tenantRate = new double[n];
+        s.tenantRatePerS = new double[n];
         for (int i = 0; i < n; i++) {
             readTenant("orgs." + i + ".", i);
         }
-        s.me = (int) whole("me", 0);
-        s.dispatchers = (int) whole("instances", 1);
+        s.schedulerIndex = (int) whole("me", 0);
+        s.schedulerCount = (int) whole("instances", 1);
         s.zone = (int) whole("zone", 0);
-        s.askForList = word("discovery", "push").equals("ask");
-        s.askWithinUs = whole("rules.ask_within_us", 0);
+        s.pollList = word("discovery", "push").equals("ask");
+        s.maxPollIntervalUs = whole("rules.ask_within_us", 0);
         s.drainGraceUs = whole("rules.drain_grace_us", 0);
-        s.coldShare = share("rules.cold_share", s.coldShare);
-        s.warmWithinUs = whole("rules.warm_within_us", 0);
-        s.fallMultiple = number("rules.fall_multiple", s.fallMultiple);
-        s.fallUs = whole("rules.fall_us", s.fallUs);
-        s.answerSlackUs = whole("rules.answer_slack_us", 0);
+        s.coldCapacityShare = share("rules.cold_share", s.coldCapacityShare);
+        s.warmUpUs = whole("rules.warm_within_us", 0);
+        s.collapseLoadFactor = number("rules.fall_multiple", s.collapseLoadFactor);
+        s.collapseAfterUs = whole("rules.fall_us", s.collapseAfterUs);
+        s.responseSlackUs = whole("rules.answer_slack_us", 0);
         s.tickUs = whole("tick_us", s.tickUs);
         s.maxAttempts = (int) whole("limits.max_attempts", 1);
-        s.secondCopies = flag("limits.second_copies");
-        s.cancels = flag("limits.cancel");
-        s.probes = flag("limits.probes");
-        s.peers = flag("limits.peers");
-        s.comeBackAdvice = flag("limits.retry_after");
-        s.maxComeBackUs = whole("limits.max_retry_after_us", 0);
-        s.reports = switch (word("stats.via", "silent")) {
-            case "piggyback" -> ReportsBy.ANSWERS_AND_PROBES;
-            case "pull" -> ReportsBy.PROBES;
-            default -> ReportsBy.NEVER;
+        s.concurrentAttemptsAllowed = flag("limits.second_copies");
+        s.cancelAllowed = flag("limits.cancel");
+        s.probesAllowed = flag("limits.probes");
+        s.peerMessagesAllowed = flag("limits.peers");
+        s.retryAfterAllowed = flag("limits.retry_after");
+        s.maxRetryAfterUs = whole("limits.max_retry_after_us", 0);
+        s.loadReportSource = switch (word("stats.via", "silent")) {
+            case "piggyback" -> LoadReportSource.RESPONSES_AND_PROBES;
+            case "pull" -> LoadReportSource.PROBES;
+            default -> LoadReportSource.NONE;
         };
-        s.sizes = switch (word("weights", "silent")) {
-            case "live" -> SizeFigure.LIVE;
-            case "nominal", "rough" -> SizeFigure.NOMINAL;
-            default -> SizeFigure.NONE;
+        s.sizeMetric = switch (word("weights", "silent")) {
+            case "live" -> SizeMetric.LIVE;
+            case "nominal", "rough" -> SizeMetric.NOMINAL;
+            default -> SizeMetric.NONE;
         };
-        s.priceOrigin = number("prices.origin", 0);
-        s.priceCrossZone = number("prices.cross_zone", 0);
-        s.priceProbe = number("prices.probe", 0);
-        s.pricePeer = number("prices.peer", 0);
-        s.priceWaste = number("prices.waste", 0);
-        s.priceLateFail = number("prices.late_fail", 0);
-        s.overShareWorth = share("over_share_worth", 1);
-        s.tellsStart = flag("family_info.tells_start");
-        s.progressUs = whole("family_info.progress_us", 0);
-        s.headBlocks = word("family_info.queue_order", "fifo").equals("fifo");
+        s.originFetchPrice = number("prices.origin", 0);
+        s.crossZonePrice = number("prices.cross_zone", 0);
+        s.probePrice = number("prices.probe", 0);
+        s.peerMessagePrice = number("prices.peer", 0);
+        s.wastedWorkPrice = number("prices.waste", 0);
+        s.lateFailurePrice = number("prices.late_fail", 0);
+        s.overShareValue = share("over_share_worth", 1);
+        s.jobStartReported = flag("family_info.tells_start");
+        s.progressIntervalUs = whole("family_info.progress_us", 0);
+        s.headOfLineBlocking = word("family_info.queue_order", "fifo").equals("fifo");
         reportFields = names("stats.fields");
         zones = names("zones");
         kinds = names("kinds");
         dialTimeoutUs = whole("limits.dial_timeout_us", 250_000);
-        s.connectWithinUs = 2 * dialTimeoutUs; // the wait for a descriptor, and the dial
+        s.connectTimeoutUs = 2 * dialTimeoutUs; // the wait for a descriptor, and the dial
         connIdleUs = whole("limits.conn_idle_us", 15_000_000);
     }
 
@@ -139,9 +139,9 @@
     }
 
     private static boolean alike(RequestClass a, RequestClass b) {
-        return a.aimUs == b.aimUs && a.stretch == b.stretch && a.deadlineUs == b.deadlineUs && a.worth == b.worth
-            && a.lateWorth == b.lateWorth && a.effect == b.effect && a.scope == b.scope && a.windowUs == b.windowUs
-            && a.kind == b.kind && a.priority == b.priority;
+        return a.softDeadlineUs == b.softDeadlineUs && a.softDeadlineStretch == b.softDeadlineStretch && a.deadlineUs == b.deadlineUs && a.value == b.value
+            && a.lateValueShare == b.lateValueShare && a.idempotency == b.idempotency && a.dedupScope == b.dedupScope && a.dedupWindowUs == b.dedupWindowUs
+            && a.requiredKind == b.requiredKind && a.priority == b.priority;
     }
 
     private void readTenant(String path, int index) throws BadSetting {
@@ -149,8 +149,8 @@
         if (!name.isEmpty() && tenantNumbers.putIfAbsent(name, index) != null) {
             throw new BadSetting(path + "name", "names '" + name + "', which an earlier one does");
         }
-        settings.tenantRate[index] = number(path + "allowance_per_s", 0);
-        if (settings.tenantRate[index] < 0) {
+        settings.tenantRatePerS[index] = number(path + "allowance_per_s", 0);
+        if (settings.tenantRatePerS[index] < 0) {
             throw bad(path + "allowance_per_s", values.get(path + "allowance_per_s"));
         }
         share(path + "portion", 0);
@@ -167,26 +167,26 @@
 
     private RequestClass readClass(String path, int index) throws BadSetting {
         RequestClass c = new RequestClass();
-        c.aimUs = whole(path + "aim_us", c.aimUs);
-        c.stretch = number(path + "aim_stretch", item("family_info.class_stretch", index, 0));
+        c.softDeadlineUs = whole(path + "aim_us", c.softDeadlineUs);
+        c.softDeadlineStretch = number(path + "aim_stretch", item("family_info.class_stretch", index, 0));
         c.deadlineUs = whole(path + "deadline_us", c.deadlineUs);
-        c.worth = number(path + "importance", 1);
-        c.lateWorth = number(path + "late_value", 0);
-        c.windowUs = whole(path + "window_us", 0);
-        c.kind = (int) item("family_info.class_kind", index, -1);
+        c.value = number(path + "importance", 1);
+        c.lateValueShare = number(path + "late_value", 0);
+        c.dedupWindowUs = whole(path + "window_us", 0);
+        c.requiredKind = (int) item("family_info.class_kind", index, -1);
         c.priority = (int) item("family_info.class_priority", index, 0);
         String effect = word(path + "semantics", "non_idempotent");
-        c.effect = switch (effect) {
-            case "read_like" -> Effect.SAFE;
-            case "idempotency_key" -> Effect.KEYED;
-            case "non_idempotent" -> Effect.UNSAFE;
+        c.idempotency = switch (effect) {
+            case "read_like" -> Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Idempotency.KEYED;
+            case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
             default -> throw bad(path + "semantics", effect);
         };
         String scope = word(path + "key_scope", "cell");
-        c.scope = switch (scope) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.CELL;
+        c.dedupScope = switch (scope) {
+            case "all" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
             default -> throw bad(path + "key_scope", scope);
         };
         return c;
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -71,6 +71,6 @@
 
     /** Whether a second attempt at a request of this class does no harm. */
     boolean isRepeatable(int requestClass) {
-        return settings.classes.get(requestClass).effect != Contract.Effect.UNSAFE;
+        return settings.classes.get(requestClass).idempotency != Contract.Idempotency.NON_IDEMPOTENT;
     }
 }
--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -123,7 +123,7 @@
         up.taken(host.loop().nowUs() < doubtUntilUs ? up.taken() : null);
         var from = pending.from;
         var h = from.headers();
-        long leftMs = Math.max(1, (pending.request.giveUpAtUs - host.loop().nowUs()) / 1000);
+        long leftMs = Math.max(1, (pending.request.deadlineAtUs - host.loop().nowUs()) / 1000);
         Message head = up.head(from.method(), from.path(), from.query(), target.host())
             .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).line()
             .header("Idempotency-Key", h.idempotencyKey()).header("Content-Type", h.contentType())
@@ -158,7 +158,7 @@
 
     private void tellWorker(Outcome outcome) {
         stage = Stage.GIVING_UP;
-        boolean lastWord = pending.closed || host.loop().nowUs() >= pending.request.giveUpAtUs - NEAR_END_US;
+        boolean lastWord = pending.closed || host.loop().nowUs() >= pending.request.deadlineAtUs - NEAR_END_US;
         host.delete(this, () -> over(outcome, null, null));
         if (lastWord) {
             // Nothing more can be sent for it, so nobody need wait for the notice to be written.
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -35,15 +35,15 @@
     void send(int requestId, int workerId, long withinUs) {
         PendingRequest request = held.byNumber(requestId);
         if (!invariants.hold(request != null, "send for an unknown request")) {
-            loop.post(() -> module.outcome(loop.nowUs(), requestId, 0, workerId, Outcome.MOOT, 0, true, null));
+            loop.post(() -> module.attemptEnded(loop.nowUs(), requestId, 0, workerId, Outcome.MOOT, 0, true, null));
             return;
         }
         long now = loop.nowUs();
-        long leftUs = request.request.giveUpAtUs - now;
+        long leftUs = request.request.deadlineAtUs - now;
         int number = request.attempts.size();
         WorkerEndpoint worker = egress.target(workerId);
         boolean moot = request.closed || leftUs <= 0 || number >= active.settings().maxAttempts
-            || !invariants.hold(active.settings().secondCopies || request.out() == null, "two attempts out at once");
+            || !invariants.hold(active.settings().concurrentAttemptsAllowed || request.out() == null, "two attempts out at once");
         Attempt attempt = new Attempt(host, egress, request, workerId, moot ? null : worker, number, now);
         request.attempts.add(attempt);
         if (number > 0) {
@@ -79,7 +79,7 @@
                 + " ended " + outcome + " after " + elapsedUs / MS + " ms");
         }
         Runnable tell = () -> {
-            module.outcome(loop.nowUs(), request.request.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
+            module.attemptEnded(loop.nowUs(), request.request.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
             held.settle(request);
         };
         if (outcome == Outcome.OK) {
--- a/node/src/main/java/hookweir/net/JobIntake.java
+++ b/node/src/main/java/hookweir/net/JobIntake.java
@@ -71,20 +71,20 @@
         invariants.count("requests");
         figures.taken();
         ingress.onDisconnect(request.client, () -> clientLeft(request));
-        module.request(loop.nowUs(), parsed);
+        module.requestAccepted(loop.nowUs(), parsed);
     }
 
     private void clientLeft(PendingRequest request) {
         request.closed = true;
         figures.abandoned();
         invariants.count("clients gone");
-        module.withdrawn(loop.nowUs(), request.request.id);
+        module.requestAbandoned(loop.nowUs(), request.request.id);
         held.settle(request);
     }
 
     /** The Retry-After header's value for jobs that are rejected for lack of room, or null. */
     String retryAfter() {
         Contract.Settings settings = active.settings();
-        return settings.comeBackAdvice ? HeldRequests.seconds(settings.maxComeBackUs) : null;
+        return settings.retryAfterAllowed ? HeldRequests.seconds(settings.maxRetryAfterUs) : null;
     }
 }
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -58,7 +58,7 @@
         this.egress = egress;
         this.module = module;
         this.onReady = onReady;
-        lease = new ListLease(!config.settings().settings.askForList);
+        lease = new ListLease(!config.settings().settings.pollList);
         adopt(config.settings());
         parser = new ListUpdate.Parser(config.settings().zones, config.settings().kinds, invariants, loop::nowUs);
         discovery = new Discovery(loop, dialer, config.discovery(), parser, invariants, events, () -> pushed, this);
@@ -66,7 +66,7 @@
 
     /** Takes over what the settings say of the list. */
     void adopt(SettingsMapping mapped) {
-        pushed = !mapped.settings.askForList;
+        pushed = !mapped.settings.pollList;
         lease.pushed(pushed);
     }
 
@@ -78,7 +78,7 @@
         // Where nothing is held, changes to it would be no list.
         discovery.seeded(pushed || !usable ? Discovery.UNKNOWN : known.version());
         tellLease();
-        module.fleet(loop.nowUs(), false, List.of());
+        module.workerListReceived(loop.nowUs(), false, List.of());
         if (pushed) {
             discovery.watch(true);
         }
@@ -124,7 +124,7 @@
         if (permits) {
             expiry = loop.after(lease.untilUs() - now, this::tellLease);
         }
-        module.listLease(now, lease.untilUs());
+        module.listLeaseChanged(now, lease.untilUs());
     }
 
     /** Starts or ends the watch. */
@@ -170,7 +170,7 @@
         lease.callFailed(failure, startedUs);
         tellLease();
         endStart();
-        loop.post(() -> module.fleetFailed(loop.nowUs(), failure));
+        loop.post(() -> module.workerListFailed(loop.nowUs(), failure));
     }
 
     /** Passes on what was held back, where the start has come to its end. */
@@ -209,6 +209,6 @@
         if (update.full()) {
             egress.keepOnly(named);
         }
-        module.fleet(loop.nowUs(), !update.full(), workers);
+        module.workerListReceived(loop.nowUs(), !update.full(), workers);
     }
 }
--- a/node/src/main/java/hookweir/net/Node.java
+++ b/node/src/main/java/hookweir/net/Node.java
@@ -72,7 +72,7 @@
             return 1;
         }
         var settings = config.settings().settings;
-        Log.line(config.name() + " serves on port " + port + ", scheduler " + settings.me + " of " + settings.dispatchers
+        Log.line(config.name() + " serves on port " + port + ", scheduler " + settings.schedulerIndex + " of " + settings.schedulerCount
             + " in zone " + settings.zone);
         HangUp.heed(() -> reload(System.getenv()));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
--- a/node/src/main/java/hookweir/net/Prober.java
+++ b/node/src/main/java/hookweir/net/Prober.java
@@ -26,17 +26,17 @@
     void probe(int workerId) {
         WorkerEndpoint worker = egress.target(workerId);
         if (worker == null) {
-            loop.post(() -> module.probed(loop.nowUs(), workerId, Outcome.CONNECT_FAILED, 0, null));
+            loop.post(() -> module.probeEnded(loop.nowUs(), workerId, Outcome.CONNECT_FAILED, 0, null));
             return;
         }
         invariants.count("probes");
-        String path = active.settings().reports == Contract.ReportsBy.NEVER ? "/healthz" : "/load";
+        String path = active.settings().loadReportSource == Contract.LoadReportSource.NONE ? "/healthz" : "/load";
         new Errand(loop, egress, invariants, active.probeLimitUs(), worker, "GET", path, Egress.SETTLED) {
             @Override
             void onEnd(Outcome outcome, Link.Piece last, byte[] body) {
                 Report report = last == null ? null : report(last, body);
                 long elapsedUs = loop.nowUs() - startUs;
-                loop.post(() -> module.probed(loop.nowUs(), workerId, outcome, elapsedUs, report));
+                loop.post(() -> module.probeEnded(loop.nowUs(), workerId, outcome, elapsedUs, report));
             }
         }.start();
     }
--- a/node/src/main/java/hookweir/net/Shutdown.java
+++ b/node/src/main/java/hookweir/net/Shutdown.java
@@ -63,7 +63,7 @@
         int heldBefore = held.size();
         long since = loop.nowUs();
         ingress.sendAway(true);
-        module.leaving(since, since + LET_GO_AFTER_US);
+        module.shutdownStarted(since, since + LET_GO_AFTER_US);
         Log.line("draining, held=" + heldBefore + ", of them let go at once " + held.answered());
         loop.after(EXIT_AFTER_US, () -> exitWhenIdle(since));
     }
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -166,7 +166,7 @@
         share.update();
         egress.limits(next.settings().dialTimeoutUs, next.settings().connIdleUs);
         membership.adopt(next.settings());
-        module.retune(loop.nowUs(), active.settings());
+        module.settingsChanged(loop.nowUs(), active.settings());
         membership.move(next.discovery());
         invariants.count("reloads");
         figures.reloaded(true);
@@ -218,7 +218,7 @@
 
     /** Attempts can be called off. */
     boolean cancels() {
-        return active.settings().cancels;
+        return active.settings().cancelAllowed;
     }
 
     /** A healthy worker says sooner than this that it took a job. */
@@ -244,14 +244,14 @@
     }
 
     @Override
-    public void ends(int requestId, EndReason reason) {
+    public void reportEndReason(int requestId, EndReason reason) {
         PendingRequest request = held.byNumber(requestId);
         invariants.count("requests given up " + reason);
         events.event(() -> "request " + (request == null ? requestId : request.clientId()) + " given up: " + reason);
     }
 
     @Override
-    public void refuse(int requestId, long comeBackUs) {
+    public void reject(int requestId, long comeBackUs) {
         PendingRequest request = held.byNumber(requestId);
         if (invariants.hold(request != null && !request.closed, "refusal of a closed request")) {
             held.refuse(request, comeBackUs);
@@ -278,31 +278,31 @@
     }
 
     @Override
-    public void timer(long token, long delayUs) {
+    public void startTimer(long token, long delayUs) {
         // What lies unread is heard before a held job goes out: its client may have left, or a worker been announced as leaving.
-        loop.after(delayUs, () -> loop.afterRound(() -> module.timer(loop.nowUs(), token)));
+        loop.after(delayUs, () -> loop.afterRound(() -> module.timerExpired(loop.nowUs(), token)));
     }
 
     @Override
-    public void guard(int requestId, long token, long delayUs) {
+    public void startRequestTimer(int requestId, long token, long delayUs) {
         PendingRequest request = held.byNumber(requestId);
         if (invariants.hold(request != null, "guard of an unknown request")) {
-            request.guard = loop.after(delayUs, () -> module.timer(loop.nowUs(), token));
+            request.guard = loop.after(delayUs, () -> module.timerExpired(loop.nowUs(), token));
         }
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchWorkerList(boolean on) {
         membership.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchWorkerList() {
         membership.fetch();
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
         // The socket protocol has no messages between schedulers.
         invariants.count("messages to peers dropped");
     }
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -56,6 +56,6 @@
     void publish() {
         figures.held(room.bytes(), room.mostBytes(), room.jobs(), room.mostJobs());
         figures.listLease(membership.leaseLeftUs() / US_PER_MS);
-        figures.targets(egress.targets(), module.avoided(loop.nowUs()));
+        figures.targets(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/ListUpdate.java
+++ b/node/src/main/java/hookweir/net/discovery/ListUpdate.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import hookweir.Contract.State;
 import hookweir.Contract.Worker;
+import hookweir.Contract.WorkerState;
 import hookweir.config.ConfigReader;
 import hookweir.net.Invariants;
 import java.io.IOException;
@@ -95,26 +95,26 @@
             }
             boolean full = o.path("full").asBoolean(false);
             if (full) {
-                ids.keepOnly(entries.stream().filter(e -> e.worker().state != State.GONE).map(Entry::name)
+                ids.keepOnly(entries.stream().filter(e -> e.worker().state != WorkerState.GONE).map(Entry::name)
                     .collect(java.util.stream.Collectors.toSet()));
             }
-            entries.stream().filter(e -> e.worker().state == State.GONE).forEach(e -> ids.forget(e.name()));
+            entries.stream().filter(e -> e.worker().state == WorkerState.GONE).forEach(e -> ids.forget(e.name()));
             return new ListUpdate(o.get("version").asLong(), full, entries);
         }
 
         /** Null, and a complaint, where the entry can't be used. */
         private Entry entry(JsonNode one) {
             String text = one.path("state").asText();
-            State state = switch (text) {
-                case "SERVING" -> State.READY;
-                case "DRAINING" -> State.DRAINING;
-                case "DELETED" -> State.GONE;
+            WorkerState state = switch (text) {
+                case "SERVING" -> WorkerState.READY;
+                case "DRAINING" -> WorkerState.DRAINING;
+                case "DELETED" -> WorkerState.GONE;
                 default -> null;
             };
             String name = one.path("id").asText();
             InetSocketAddress address = ConfigReader.parseAddress(one.path("addr").asText());
             String fault = name.isEmpty() ? "has no 'id'" : state == null ? "has the unknown 'state' '" + text + "'"
-                : address == null && state != State.GONE ? "has no 'addr' of the form ADDRESS:PORT" : null;
+                : address == null && state != WorkerState.GONE ? "has no 'addr' of the form ADDRESS:PORT" : null;
             if (fault != null) {
                 complaints.about("discovery bad entry", one.toString(), fault);
                 return null;
--- a/node/src/main/java/hookweir/net/server/RequestParser.java
+++ b/node/src/main/java/hookweir/net/server/RequestParser.java
@@ -49,9 +49,9 @@
         // A client that names no deadline waits as long as its class does.
         long waitUs = h.deadlineMs() == null ? classList.get(number).deadlineUs
             : 1000 * millis(h.deadlineMs());
-        r.giveUpAtUs = nowUs + waitUs;
-        r.hintUs = h.cost() == null ? 0 : whole("Req-Cost", h.cost(), Integer.MAX_VALUE * 2L);
-        r.repeat = "1".equals(h.retry());
+        r.deadlineAtUs = nowUs + waitUs;
+        r.costHintUs = h.cost() == null ? 0 : whole("Req-Cost", h.cost(), Integer.MAX_VALUE * 2L);
+        r.clientRetry = "1".equals(h.retry());
         r.key = key(path);
         r.tenant = tenantOf(h.owner());
         if (h.extra() != null && !h.extra().isEmpty()) {
--- a/node/src/main/java/hookweir/net/worker/Egress.java
+++ b/node/src/main/java/hookweir/net/worker/Egress.java
@@ -88,8 +88,8 @@
     }
 
     /** What the list says of a target. */
-    public void told(int id, String name, InetSocketAddress address, Contract.State state) {
-        if (state == Contract.State.GONE) {
+    public void told(int id, String name, InetSocketAddress address, Contract.WorkerState state) {
+        if (state == Contract.WorkerState.GONE) {
             forget(id);
         } else {
             WorkerEndpoint t = targets.computeIfAbsent(id, k -> new WorkerEndpoint(name, id));
@@ -113,7 +113,7 @@
         WorkerEndpoint t = targets.remove(id);
         if (t != null) {
             endIdle(t);
-            t.update(t.address(), Contract.State.GONE);
+            t.update(t.address(), Contract.WorkerState.GONE);
         }
     }
 
--- a/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
+++ b/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
@@ -15,7 +15,7 @@
     final Deque<Link> idle = new ArrayDeque<>();
     private InetSocketAddress address;
     private String host;
-    private Contract.State state;
+    private Contract.WorkerState state;
     private long answersTwiceUntilUs;
 
     WorkerEndpoint(String name, int id) {
@@ -35,7 +35,7 @@
 
     /** New work may go to it, as far as this scheduler was told. */
     public boolean ready() {
-        return state == Contract.State.READY;
+        return state == Contract.WorkerState.READY;
     }
 
     /** It answered a call twice, so its links rest after each job until then. */
@@ -48,7 +48,7 @@
         return nowUs < answersTwiceUntilUs;
     }
 
-    void update(InetSocketAddress newAddress, Contract.State newState) {
+    void update(InetSocketAddress newAddress, Contract.WorkerState newState) {
         if (!newAddress.equals(address)) {
             host = Link.host(newAddress);
         }
--- a/node/src/test/java/hookweir/adapter/SessionTest.java
+++ b/node/src/test/java/hookweir/adapter/SessionTest.java
@@ -30,7 +30,7 @@
         }
 
         @Override
-        public void fleet(long now, boolean delta, List<Contract.Worker> entries) {
+        public void workerListReceived(long now, boolean delta, List<Contract.Worker> entries) {
             StringBuilder b = new StringBuilder("fleet " + delta);
             for (Contract.Worker w : entries) {
                 b.append(' ').append(w.id).append(w.state).append(w.zone).append('/').append(w.size);
@@ -39,16 +39,16 @@
         }
 
         @Override
-        public void fleetFailed(long now) {
+        public void workerListFailed(long now) {
             events.add("fleetFailed");
-            host.watchList(true);
-            host.fetchList();
+            host.watchWorkerList(true);
+            host.fetchWorkerList();
         }
 
         @Override
-        public void request(long now, Contract.Request r) {
-            events.add("request " + r.id + " " + r.hintUs + " " + r.slots + " " + r.key + " " + r.giveUpAtUs
-                + " " + r.repeat);
+        public void requestAccepted(long now, Contract.Request r) {
+            events.add("request " + r.id + " " + r.costHintUs + " " + r.slots + " " + r.key + " " + r.deadlineAtUs
+                + " " + r.clientRetry);
             host.send(r.id, 0x03124a07, 80_000);
             if (r.id == 13) {
                 throw new IllegalStateException("thirteen");
@@ -56,46 +56,46 @@
         }
 
         @Override
-        public void progress(long now, int id, int attempt, int worker, double share) {
+        public void progressReported(long now, int id, int attempt, int worker, double share) {
             events.add("progress " + id + " " + attempt + " " + share);
         }
 
         @Override
-        public void streaming(long now, int id, int attempt) {
+        public void streamStarted(long now, int id, int attempt) {
             events.add("streaming " + id + " " + attempt);
         }
 
         @Override
-        public void outcome(long now, int id, int attempt, int worker, Contract.Outcome outcome, long elapsed,
+        public void attemptEnded(long now, int id, int attempt, int worker, Contract.Outcome outcome, long elapsed,
                 boolean closed, Contract.Report report) {
             events.add("outcome " + id + " " + outcome + " " + elapsed + " " + closed + " "
-                + (report == null ? "-" : report.free + " " + report.utilization + " " + report.inHand));
-            host.refuse(id, 5);
+                + (report == null ? "-" : report.freeSlots + " " + report.utilization + " " + report.outstanding));
+            host.reject(id, 5);
             host.fail(id);
             host.cancel(id, attempt);
         }
 
         @Override
-        public void withdrawn(long now, int id) {
+        public void requestAbandoned(long now, int id) {
             events.add("withdrawn " + id);
         }
 
         @Override
-        public void probed(long now, int worker, Contract.Outcome outcome, long elapsed, Contract.Report report) {
+        public void probeEnded(long now, int worker, Contract.Outcome outcome, long elapsed, Contract.Report report) {
             events.add("probed " + worker + " " + outcome);
             host.probe(worker);
         }
 
         @Override
-        public void peer(long now, int sender, byte[] body) {
+        public void peerMessageReceived(long now, int sender, byte[] body) {
             events.add("peer " + sender + " " + body.length);
-            host.tell(Contract.EVERYBODY, body);
+            host.sendToPeer(Contract.ALL_PEERS, body);
         }
 
         @Override
-        public void timer(long now, long token) {
+        public void timerExpired(long now, long token) {
             events.add("timer " + token + " at " + now);
-            host.timer(token, 500_000);
+            host.startTimer(token, 500_000);
             host.log("hi");
         }
     }
@@ -174,7 +174,7 @@
             + "08 00000003 5d3a91c4 03124a07 00013880"
             + "02 00000003 000000000000004d 0007a120"
             + "01 00000003 0002 6869"), reply);
-        assertEquals(4, spies.get(0).settings.me);
+        assertEquals(4, spies.get(0).settings.schedulerIndex);
     }
 
     @Test
@@ -288,14 +288,14 @@
             + "prices.probe=0.002\nfamily_info.queue_order=backfill\nbogus=1\n\n");
         play(frame(1));
         Contract.Settings s = spies.get(0).settings;
-        assertEquals(Contract.Effect.UNSAFE, s.classes.get(0).effect);
-        assertEquals(Contract.Scope.ZONE, s.classes.get(1).scope);
-        assertEquals(1.75, s.classes.get(1).stretch);
-        assertEquals(12.5, s.tenantRate[0]);
-        assertEquals(Contract.SizeFigure.LIVE, s.sizes);
-        assertEquals(Contract.ReportsBy.PROBES, s.reports);
+        assertEquals(Contract.Idempotency.NON_IDEMPOTENT, s.classes.get(0).idempotency);
+        assertEquals(Contract.DedupScope.ZONE, s.classes.get(1).dedupScope);
+        assertEquals(1.75, s.classes.get(1).softDeadlineStretch);
+        assertEquals(12.5, s.tenantRatePerS[0]);
+        assertEquals(Contract.SizeMetric.LIVE, s.sizeMetric);
+        assertEquals(Contract.LoadReportSource.PROBES, s.loadReportSource);
         assertEquals(4, s.maxAttempts);
-        assertEquals(0.002, s.priceProbe);
-        assertTrue(!s.headBlocks);
+        assertEquals(0.002, s.probePrice);
+        assertTrue(!s.headOfLineBlocking);
     }
 }
--- a/node/src/test/java/hookweir/config/ConfigReaderTest.java
+++ b/node/src/test/java/hookweir/config/ConfigReaderTest.java
@@ -26,9 +26,9 @@
         assertEquals(5, c.listen().getPort());
         assertEquals(99, c.sockets());
         assertEquals("a_b", c.settings().classNames.get(0));
-        assertEquals(7, c.settings().settings.classes.get(0).aimUs);
-        assertEquals(2.5, c.settings().settings.classes.get(0).stretch);
-        assertEquals(3, c.settings().settings.me);
+        assertEquals(7, c.settings().settings.classes.get(0).softDeadlineUs);
+        assertEquals(2.5, c.settings().settings.classes.get(0).softDeadlineStretch);
+        assertEquals(3, c.settings().settings.schedulerIndex);
         assertEquals(250_000, c.settings().dialTimeoutUs);
     }
 
@@ -76,8 +76,8 @@
             "'aim_us':3", "'aim_us':4", "'max_attempts':3", "'max_attempts':1");
         assertEquals(Map.of("c", 2, "b", 3), second.settings().classNumbers);
         assertEquals(4, second.settings().settings.classes.size());
-        assertEquals(3, second.settings().settings.classes.get(1).aimUs);
-        assertEquals(4, second.settings().settings.classes.get(3).aimUs);
+        assertEquals(3, second.settings().settings.classes.get(1).softDeadlineUs);
+        assertEquals(4, second.settings().settings.classes.get(3).softDeadlineUs);
         assertEquals(1, second.settings().settings.maxAttempts);
         assertEquals(Map.of("a", 0, "b", 1), again(second).settings().classNumbers);
     }
@@ -111,8 +111,8 @@
     void tenantsAndTheirSharesAreRead() throws Exception {
         Config c = read(SHARED, Map.of());
         assertEquals(Map.of("x", 0, "y", 1), c.settings().tenantNumbers);
-        assertEquals(4.5, c.settings().settings.tenantRate[0]);
-        assertEquals(0.2, c.settings().settings.overShareWorth);
+        assertEquals(4.5, c.settings().settings.tenantRatePerS[0]);
+        assertEquals(0.2, c.settings().settings.overShareValue);
         for (String[] fault : new String[][] {{"0.77", "1.77", "orgs.0.portion"}, {"0.23", "-0.1", "orgs.1.portion"}, {"0.23", "'much'", "orgs.1.portion"},
             {"4.5", "-1", "orgs.0.allowance_per_s"}, {"'over_share_worth':0.2", "'over_share_worth':2", "over_share_worth"},
             {"'name':'y',", "", "orgs.1.name"}, {"'name':'y'", "'name':'x'", "orgs.1.name"}, {"0.34", "3.4", "rules.cold_share"}}) {
--- a/node/src/test/java/hookweir/net/DialsTest.java
+++ b/node/src/test/java/hookweir/net/DialsTest.java
@@ -27,7 +27,7 @@
             for (int w = 2; w <= workers; w++) {
                 int id = w;
                 pool.bare.loop.post(() -> pool.egress.told(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    pool.door.getLocalPort()), Contract.State.READY));
+                    pool.door.getLocalPort()), Contract.WorkerState.READY));
             }
             Thread acceptor = new Thread(pool::acceptAll);
             acceptor.setDaemon(true);
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -96,8 +96,8 @@
                 + draining(4096).substring(1) + "]},'settings':{'classes':[{'name':'render','deadline_us':9,'semantics':'read_like'}],"
                 + "'zones':['a'],'kinds':['m'],'me':4095,'instances':4096}}").replace('\'', '"'));
             Config config = ConfigReader.fromFile(file, Map.of());
-            assertEquals(4095, config.settings().settings.me);
-            assertEquals(4096, config.settings().settings.dispatchers);
+            assertEquals(4095, config.settings().settings.schedulerIndex);
+            assertEquals(4096, config.settings().settings.schedulerCount);
             assertEquals(4096, config.known().path("servers").size());
         } finally {
             Files.delete(file);
@@ -121,7 +121,7 @@
             for (int i = 0; i < WORKERS; i++) {
                 int id = i;
                 loop.post(() -> {
-                    egress.told(id, "s-" + id, at, Contract.State.READY);
+                    egress.told(id, "s-" + id, at, Contract.WorkerState.READY);
                     egress.link(egress.target(id), new Link.Handler() {
                         @Override
                         public void up(Link link) {
--- a/node/src/test/java/hookweir/net/LinkPool.java
+++ b/node/src/test/java/hookweir/net/LinkPool.java
@@ -45,7 +45,7 @@
         Room room = new Room(1 << 20, 100);
         room.descriptors(descriptors);
         egress = new Egress(bare.loop, bare.dialer, invariants, 20_000_000, 20_000_000, room, () -> 0);
-        bare.loop.post(() -> egress.told(1, "s-01", new InetSocketAddress(HERE, door.getLocalPort()), Contract.State.READY));
+        bare.loop.post(() -> egress.told(1, "s-01", new InetSocketAddress(HERE, door.getLocalPort()), Contract.WorkerState.READY));
     }
 
     void link() {
--- a/node/src/test/java/hookweir/net/ParsersTest.java
+++ b/node/src/test/java/hookweir/net/ParsersTest.java
@@ -105,7 +105,7 @@
     void headersMakeARequestOrAreRefused(@ForAll String id, @ForAll String number, @ForAll String extra) {
         try {
             Contract.Request r = requests.parse(new IngressRequest.Headers(id, "render", number, "1", number, extra, null, null, null), "/api/" + id, 5, 1000);
-            assertTrue(r.giveUpAtUs >= 1000 && r.hintUs >= 0 && Double.isFinite(r.slots));
+            assertTrue(r.deadlineAtUs >= 1000 && r.costHintUs >= 0 && Double.isFinite(r.slots));
         } catch (RequestParser.BadRequest e) {
             assertNotNull(e.getMessage());
         }
@@ -115,7 +115,7 @@
     void goodHeadersAreRead(@ForAll @IntRange(min = 0, max = 90_000) int ms, @ForAll long key) throws Exception {
         Contract.Request r = requests.parse(new IngressRequest.Headers("a-1", "render", "" + ms, null, "7", "slots=2,x=1", null, null, null),
             "/api/" + Long.toHexString(key), 5, 1000);
-        assertEquals(1000 + ms * 1000L, r.giveUpAtUs);
+        assertEquals(1000 + ms * 1000L, r.deadlineAtUs);
         assertEquals(key, r.key);
         assertEquals(2, r.slots);
     }
@@ -151,7 +151,7 @@
         for (String text : List.of("x0=2,utilization=0.61", "{\"x0\":2,\"utilization\":0.61}")) {
             assertEquals(0.61, loads.ofBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
             Contract.Report r = loads.ofBody(garbled(text, noise));
-            assertTrue(r == null || !Double.isInfinite(r.free) && !Double.isInfinite(r.utilization));
+            assertTrue(r == null || !Double.isInfinite(r.freeSlots) && !Double.isInfinite(r.utilization));
         }
     }
 
--- a/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
+++ b/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
@@ -40,7 +40,7 @@
     void ofTwoEntriesForOneIdTheLaterHolds() {
         ListUpdate u = parse(GOOD + "," + entry("s-01", "DRAINING"));
         assertEquals(1, u.entries().size());
-        assertEquals(hookweir.Contract.State.DRAINING, u.entries().get(0).worker().state);
+        assertEquals(hookweir.Contract.WorkerState.DRAINING, u.entries().get(0).worker().state);
         assertEquals(1, invariants.counted("discovery entry twice"));
     }
 
