--- a/bench/src/main/java/hookweir/bench/TimersBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/TimersBenchmark.java
@@ -52,7 +52,7 @@
         inAgrona = new long[live];
         for (int i = 0; i < live; i++) {
             long at = SPREAD_US / 2 + random.nextInt(SPREAD_US);
-            inWheel[i] = wheel.set(at, NOTHING);
+            inWheel[i] = wheel.schedule(at, NOTHING);
             inHeap[i] = heap.set(at, NOTHING);
             inAgrona[i] = agrona.scheduleTimer(at);
         }
@@ -69,7 +69,7 @@
     public Runnable wheel() {
         long at = step();
         inWheel[next].cancel();
-        inWheel[next] = wheel.set(at, NOTHING);
+        inWheel[next] = wheel.schedule(at, NOTHING);
         return wheel.poll(nowUs);
     }
 
--- a/core/src/main/java/hookweir/Contract.java
+++ b/core/src/main/java/hookweir/Contract.java
@@ -1,6 +1,6 @@
 package hookweir;
 
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -267,7 +267,7 @@
         void workerListFailed(long nowUs);
 
         /** As {@link #workerListFailed(long)}, where the host knows how it failed. */
-        default void workerListFailed(long nowUs, CallFailure failure) {
+        default void workerListFailed(long nowUs, ListCallFailure failure) {
             workerListFailed(nowUs);
         }
 
--- a/core/src/main/java/hookweir/Policy.java
+++ b/core/src/main/java/hookweir/Policy.java
@@ -9,9 +9,9 @@
 import hookweir.Contract.Outcome;
 import hookweir.Contract.RequestClass;
 import hookweir.Contract.WorkerState;
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import hookweir.membership.ListCallPacer;
-import hookweir.membership.WorkerStarts;
+import hookweir.membership.WorkerStartTimes;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -93,7 +93,7 @@
     private double checksPerRequest;
     private final long salt;
     private ListCallPacer listCalls;
-    private final WorkerStarts starts = new WorkerStarts();
+    private final WorkerStartTimes starts = new WorkerStartTimes();
     private int from, span, fitting;
     private double[] weight = new double[64], kindSlots = {}, kindPace = {};
     private double meanHintUs, serviceUs = 1e6, staleUs, probeUs, arrivals;
@@ -125,8 +125,8 @@
     // ---- the list of workers ----
 
     @Override public void workerListReceived(long now, boolean delta, List<Contract.Worker> entries) {
-        if (started && leased(now)) listCalls.answered();
-        if (!started && set.pollList) host.startTimer(WATCH, listCalls.firstCallUs(random.uniform()));
+        if (started && leased(now)) listCalls.callSucceeded();
+        if (!started && set.pollList) host.startTimer(WATCH, listCalls.firstCallDelayUs(random.uniform()));
         started = true;
         for (int i = 0; !delta && i < workers.size(); i++) workers.get(i).listed = false;
         for (Contract.Worker e : entries) {
@@ -171,7 +171,7 @@
     /** A restarted process holds nothing and has failed nobody yet. */
     private void restarted(W w, long startedUs, long now) {
         w.listedStartUs = startedUs;
-        w.startedUs = starts.startedUs(w.e.id, startedUs, now, listHeld);
+        w.startedUs = starts.startTimeUs(w.e.id, startedUs, now, listHeld);
         w.cold = startedUs > 0;
         cooling |= w.cold;
         w.busy = w.serviceMs = Double.NaN;
@@ -180,12 +180,12 @@
     }
 
     @Override public void workerListFailed(long now) {
-        workerListFailed(now, CallFailure.UNANSWERED);
+        workerListFailed(now, ListCallFailure.UNANSWERED);
     }
 
-    @Override public void workerListFailed(long now, CallFailure failure) {
+    @Override public void workerListFailed(long now, ListCallFailure failure) {
         watching = false;
-        host.startTimer(WATCH, listCalls.nextCallUs(failure, random.uniform()));
+        host.startTimer(WATCH, listCalls.retryDelayUs(failure, random.uniform()));
     }
 
     @Override public void listLeaseChanged(long now, long untilUs) {
--- a/core/src/main/java/hookweir/membership/ListCallPacer.java
+++ b/core/src/main/java/hookweir/membership/ListCallPacer.java
@@ -8,26 +8,26 @@
  */
 public final class ListCallPacer {
     /** First calls of processes that may all have started at once are spread over so much for each scheduler. */
-    static final long START_SPREAD_US = 20_000;
+    static final long START_SPREAD_PER_SCHEDULER_US = 20_000;
     /** The same for watches that may all have been lost at once: the list as held does for some seconds. */
-    static final long WATCH_SPREAD_US = 30_000;
+    static final long WATCH_SPREAD_PER_SCHEDULER_US = 30_000;
     /** The first pause after a failed call: so much, or for each scheduler so much. */
-    static final long FIRST_PAUSE_US = 250_000;
-    static final long FIRST_PAUSE_EACH_US = 30_000;
+    static final long MIN_FIRST_DELAY_US = 250_000;
+    static final long FIRST_DELAY_PER_SCHEDULER_US = 30_000;
     /** By so much each further pause is longer than the one before. */
-    static final double GROWTH = 1.5;
+    static final double BACKOFF_FACTOR = 1.5;
     /** The longest pause is so much, and so much more for each scheduler beyond a few, but no more than the most. */
-    static final long LONGEST_PAUSE_US = 500_000;
-    static final long LONGEST_PAUSE_EACH_US = 250_000;
-    static final int FEW_SCHEDULERS = 5;
-    static final long MOST_PAUSE_US = 8_000_000;
+    static final long SMALL_FLEET_MAX_DELAY_US = 500_000;
+    static final long MAX_DELAY_PER_EXTRA_SCHEDULER_US = 250_000;
+    static final int SMALL_FLEET_SCHEDULERS = 5;
+    static final long MAX_DELAY_US = 8_000_000;
     /** An agent on this machine is asked without harm; what it hears when it is back counts at once. */
-    static final long AGENT_PAUSE_US = 50_000;
+    static final long AGENT_DELAY_US = 50_000;
 
-    private final int schedulers;
-    private final boolean asked;
-    private final long askWithinUs;
-    private int failures;
+    private final int schedulerCount;
+    private final boolean polled;
+    private final long pollWithinUs;
+    private int consecutiveFailures;
 
     /**
      * A pacer for one of so many schedulers.
@@ -36,38 +36,38 @@
      * @param askWithinUs a scheduler that has not asked for so long counts as told; 0: no such rule
      */
     public ListCallPacer(int schedulers, boolean asked, long askWithinUs) {
-        this.schedulers = Math.max(1, schedulers);
-        this.asked = asked;
-        this.askWithinUs = askWithinUs;
+        this.schedulerCount = Math.max(1, schedulers);
+        this.polled = asked;
+        this.pollWithinUs = askWithinUs;
     }
 
     /** The pause before the first call of a process; uniform is a random number from 0 to 1. */
-    public long firstCallUs(double uniform) {
-        return asked ? (long) (uniform * spreadUs(START_SPREAD_US)) : 0;
+    public long firstCallDelayUs(double uniform) {
+        return polled ? (long) (uniform * spreadUs(START_SPREAD_PER_SCHEDULER_US)) : 0;
     }
 
     /** The pause before the call that follows one that failed. */
-    public long nextCallUs(CallFailure failure, double uniform) {
-        if (!asked) {
-            return (long) (AGENT_PAUSE_US * (0.5 + uniform));
+    public long retryDelayUs(ListCallFailure failure, double uniform) {
+        if (!polled) {
+            return (long) (AGENT_DELAY_US * (0.5 + uniform));
         }
-        if (failure == CallFailure.WATCH_ENDED || failure == CallFailure.WATCH_SILENT) {
-            return (long) (uniform * spreadUs(WATCH_SPREAD_US));
+        if (failure == ListCallFailure.WATCH_ENDED || failure == ListCallFailure.WATCH_SILENT) {
+            return (long) (uniform * spreadUs(WATCH_SPREAD_PER_SCHEDULER_US));
         }
-        double first = Math.max(FIRST_PAUSE_US, FIRST_PAUSE_EACH_US * schedulers);
-        double longest = LONGEST_PAUSE_US + LONGEST_PAUSE_EACH_US * Math.max(0, schedulers - FEW_SCHEDULERS);
-        double pause = Math.min(Math.min(MOST_PAUSE_US, longest), first * Math.pow(GROWTH, failures));
-        failures++;
+        double first = Math.max(MIN_FIRST_DELAY_US, FIRST_DELAY_PER_SCHEDULER_US * schedulerCount);
+        double longest = SMALL_FLEET_MAX_DELAY_US + MAX_DELAY_PER_EXTRA_SCHEDULER_US * Math.max(0, schedulerCount - SMALL_FLEET_SCHEDULERS);
+        double pause = Math.min(Math.min(MAX_DELAY_US, longest), first * Math.pow(BACKOFF_FACTOR, consecutiveFailures));
+        consecutiveFailures++;
         return (long) (pause * (0.5 + uniform));
     }
 
     /** The service answered a call. */
-    public void answered() {
-        failures = 0;
+    public void callSucceeded() {
+        consecutiveFailures = 0;
     }
 
     private long spreadUs(long eachUs) {
-        long spread = eachUs * (schedulers - 1);
-        return askWithinUs > 0 ? Math.min(spread, askWithinUs / 4) : spread;
+        long spread = eachUs * (schedulerCount - 1);
+        return pollWithinUs > 0 ? Math.min(spread, pollWithinUs / 4) : spread;
     }
 }
--- a/core/src/main/java/hookweir/membership/ListLease.java
+++ b/core/src/main/java/hookweir/membership/ListLease.java
@@ -2,9 +2,9 @@
 
 /**
  * A lease on the list of workers: by which list requests may be sent to workers, and until when. A state machine without I/O and
- * clock; its host reports the events, each with its time in µs, and asks {@link #permits} before the first byte of an attempt.
+ * clock; its host reports the events, each with its time in µs, and asks {@link #isValidAt} before the first byte of an attempt.
  *
- * <p>A change of the list counts as told to a scheduler at the latest {@value #TOLD_US} µs after the list service had it and could be
+ * <p>A change of the list counts as told to a scheduler at the latest {@value #NOTIFICATION_DEADLINE_US} µs after the list service had it and could be
  * reached, whether it arrived or not; after a move to another service sooner. So an answer of the service is a lease for less than
  * that. So is proof that the service can't be reached, as long as nothing can have been missed before: the service answered no call
  * otherwise, and no watch fell silent, since the list was last known whole. An answer that says nothing of the list, such as 503, is no
@@ -14,7 +14,7 @@
  * <pre>
  *   event                                     phase                       lease until             missed nothing
  *   confirmed                                 CONFIRMED                   confirmation + term     yes
- *   call refused, nothing missed              CACHED after {@value #REFUSALS} in a row     call's start + term     as it was
+ *   call refused, nothing missed              CACHED after {@value #REFUSALS_UNTIL_UNREACHABLE} in a row     call's start + term     as it was
  *   call refused, perhaps something missed    the same                    as it was               no
  *   call unanswered, lists asked for          as it was                   as it was               no
  *   call unanswered, lists pushed             as a call refused: an agent is silent only while it learns nothing
@@ -39,21 +39,21 @@
     }
 
     /** What the list service has to tell counts as told so long after it had it and could be reached. */
-    public static final long TOLD_US = 6_000_000;
+    public static final long NOTIFICATION_DEADLINE_US = 6_000_000;
     /** The same from the signal by which the configuration moved it to another address. */
-    public static final long TOLD_AFTER_MOVE_US = 4_000_000;
+    public static final long MOVE_NOTIFICATION_DEADLINE_US = 4_000_000;
     /** So much sooner sending ends. The process may be held up between its clock and its write; the grace of a drain comes on top. */
-    static final long MARGIN_US = 100_000;
+    static final long SAFETY_MARGIN_US = 100_000;
     /** One refusal may be a restart of the list service; after so many in a row it counts as out of reach. */
-    static final int REFUSALS = 2;
-    private static final long TERM_US = TOLD_US - MARGIN_US;
+    static final int REFUSALS_UNTIL_UNREACHABLE = 2;
+    private static final long TERM_US = NOTIFICATION_DEADLINE_US - SAFETY_MARGIN_US;
 
     private Phase phase = Phase.PENDING;
-    private boolean pushed;
-    private int refusals;
-    private long untilUs;
+    private boolean setListsPushed;
+    private int consecutiveRefusals;
+    private long expiresAtUs;
     /** All is known that the service had to tell while it could be reached, as far as can be seen from here. */
-    private boolean missedNothing = true;
+    private boolean noUpdateMissed = true;
 
     /**
      * A lease that is yet to begin.
@@ -61,12 +61,12 @@
      * @param pushed lists are pushed to an agent on this machine, which answers at once or is silent while it learns nothing
      */
     public ListLease(boolean pushed) {
-        this.pushed = pushed;
+        this.setListsPushed = pushed;
     }
 
     /** Sets whether lists are pushed, as a new configuration says. */
-    public void pushed(boolean on) {
-        pushed = on;
+    public void setListsPushed(boolean on) {
+        setListsPushed = on;
     }
 
     /** The present phase. */
@@ -80,13 +80,13 @@
     }
 
     /** Whether the first byte of an attempt may be sent now. */
-    public boolean permits(long nowUs) {
-        return nowUs < untilUs;
+    public boolean isValidAt(long nowUs) {
+        return nowUs < expiresAtUs;
     }
 
     /** No attempt may begin from then on. */
-    public long untilUs() {
-        return untilUs;
+    public long expiresAtUs() {
+        return expiresAtUs;
     }
 
     /**
@@ -96,9 +96,9 @@
      */
     public void confirmed(long readUs) {
         phase = Phase.CONFIRMED;
-        missedNothing = true;
-        refusals = 0;
-        untilUs = Math.max(untilUs, readUs + TERM_US);
+        noUpdateMissed = true;
+        consecutiveRefusals = 0;
+        expiresAtUs = Math.max(expiresAtUs, readUs + TERM_US);
     }
 
     /**
@@ -106,27 +106,27 @@
      *
      * @param startedUs when the call began: if the service could not be reached, then not before this moment
      */
-    public void callFailed(CallFailure failure, long startedUs) {
+    public void callFailed(ListCallFailure failure, long startedUs) {
         switch (failure) {
             case REFUSED -> unreachable(startedUs);
             case UNANSWERED -> unanswered(startedUs);
-            case WATCH_SILENT -> missedNothing = false;
+            case WATCH_SILENT -> noUpdateMissed = false;
             case WATCH_ENDED -> { }
         }
     }
 
     private void unanswered(long startedUs) {
-        refusals = 0;
-        if (pushed) {
+        consecutiveRefusals = 0;
+        if (setListsPushed) {
             extend(startedUs);
         } else {
-            missedNothing = false;
+            noUpdateMissed = false;
         }
     }
 
     private void unreachable(long startedUs) {
-        refusals++;
-        if (phase == Phase.PENDING && refusals >= REFUSALS) {
+        consecutiveRefusals++;
+        if (phase == Phase.PENDING && consecutiveRefusals >= REFUSALS_UNTIL_UNREACHABLE) {
             phase = Phase.CACHED;
         }
         extend(startedUs);
@@ -134,8 +134,8 @@
 
     /** The service could not be reached then. */
     private void extend(long atUs) {
-        if (phase != Phase.PENDING && missedNothing) {
-            untilUs = Math.max(untilUs, atUs + TERM_US);
+        if (phase != Phase.PENDING && noUpdateMissed) {
+            expiresAtUs = Math.max(expiresAtUs, atUs + TERM_US);
         }
     }
 
@@ -143,34 +143,34 @@
      * The host's limit on the start is over: the process takes clients from now on. By the list as last held it sends only where
      * the service is out of reach.
      */
-    public void timeLimitReached(long nowUs) {
+    public void startTimeoutReached(long nowUs) {
         if (phase != Phase.PENDING) {
             return;
         }
         phase = Phase.CACHED;
-        if (pushed) {
-            untilUs = nowUs + TERM_US;
+        if (setListsPushed) {
+            expiresAtUs = nowUs + TERM_US;
         }
     }
 
     /** A new configuration names another address of the list service; what that one has to tell counts soon. */
-    public void moved(long nowUs) {
-        missedNothing = false;
-        untilUs = Math.min(untilUs, nowUs + TOLD_AFTER_MOVE_US - MARGIN_US);
+    public void serviceMoved(long nowUs) {
+        noUpdateMissed = false;
+        expiresAtUs = Math.min(expiresAtUs, nowUs + MOVE_NOTIFICATION_DEADLINE_US - SAFETY_MARGIN_US);
     }
 
     /** The same lease, which goes its own way from now on. */
     ListLease copy() {
-        ListLease copy = new ListLease(pushed);
+        ListLease copy = new ListLease(setListsPushed);
         copy.phase = phase;
-        copy.refusals = refusals;
-        copy.untilUs = untilUs;
-        copy.missedNothing = missedNothing;
+        copy.consecutiveRefusals = consecutiveRefusals;
+        copy.expiresAtUs = expiresAtUs;
+        copy.noUpdateMissed = noUpdateMissed;
         return copy;
     }
 
     @Override
     public String toString() {
-        return phase + (missedNothing ? "" : ", may have missed something") + ", " + refusals + " refusals in a row";
+        return phase + (noUpdateMissed ? "" : ", may have missed something") + ", " + consecutiveRefusals + " refusals in a row";
     }
 }
--- a/core/src/main/java/hookweir/timer/TimerWheel.java
+++ b/core/src/main/java/hookweir/timer/TimerWheel.java
@@ -12,65 +12,65 @@
     /** The grain of all timers, in microseconds. */
     public static final int TICK_US = 1 << 10;
     private static final int TICK_BITS = 10;
-    private static final int SLOTS = 1 << 13;
-    /** So many ticks ahead {@link #waitUs} looks, lest an idle wheel be searched whole. */
-    private static final int HORIZON = 64;
+    private static final int SLOT_COUNT = 1 << 13;
+    /** So many ticks ahead {@link #idleTimeUs} looks, lest an idle wheel be searched whole. */
+    private static final int LOOKAHEAD_TICKS = 64;
 
-    private final Timer[] first = new Timer[SLOTS];
-    private final Timer[] last = new Timer[SLOTS];
+    private final Timer[] slotHeads = new Timer[SLOT_COUNT];
+    private final Timer[] slotTails = new Timer[SLOT_COUNT];
     /** Timers of the ticks passed, in order, not yet handed out. */
-    private Timer due;
-    private Timer dueEnd;
-    private long tick;
-    private int live;
+    private Timer dueHead;
+    private Timer dueTail;
+    private long currentTick;
+    private int pendingTimers;
 
-    /** One timer, from {@link #set} until it came due or was cancelled. */
+    /** One timer, from {@link #schedule} until it came due or was cancelled. */
     public static final class Timer {
-        private static final int NOWHERE = -1;
-        private static final int DUE = -2;
+        private static final int UNLINKED = -1;
+        private static final int DUE_LIST = -2;
 
         private final TimerWheel wheel;
-        private final long atTick;
+        private final long dueTick;
         private Runnable task;
-        private Timer before;
-        private Timer after;
+        private Timer previous;
+        private Timer next;
         private int slot;
 
         private Timer(TimerWheel wheel, long atTick, Runnable task) {
             this.wheel = wheel;
-            this.atTick = atTick;
+            this.dueTick = atTick;
             this.task = task;
         }
 
         /** It won't come due any more, and its task is let go of. Harmless once it came due. */
         public void cancel() {
-            if (slot != NOWHERE) {
+            if (slot != UNLINKED) {
                 wheel.unlink(this);
-                wheel.live--;
+                wheel.pendingTimers--;
                 task = null;
             }
         }
 
         /** It is still to come. */
-        public boolean isSet() {
-            return slot != NOWHERE;
+        public boolean isPending() {
+            return slot != UNLINKED;
         }
     }
 
     /** A wheel whose clock shows this time. */
     public TimerWheel(long nowUs) {
-        tick = nowUs >> TICK_BITS;
+        currentTick = nowUs >> TICK_BITS;
     }
 
     /** Sets a timer for that time; one that is past comes due at the next {@link #poll}. */
-    public Timer set(long atUs, Runnable task) {
-        long at = Math.max(tick, atUs + TICK_US - 1 >> TICK_BITS);
+    public Timer schedule(long atUs, Runnable task) {
+        long at = Math.max(currentTick, atUs + TICK_US - 1 >> TICK_BITS);
         Timer t = new Timer(this, at, task);
-        live++;
-        if (at <= tick) {
-            append(t, Timer.DUE);
+        pendingTimers++;
+        if (at <= currentTick) {
+            append(t, Timer.DUE_LIST);
         } else {
-            append(t, (int) (at & SLOTS - 1));
+            append(t, (int) (at & SLOT_COUNT - 1));
         }
         return t;
     }
@@ -78,99 +78,99 @@
     /** The task of the next timer that is due by that time, which is now over; null where none is. */
     public Runnable poll(long nowUs) {
         long now = nowUs >> TICK_BITS;
-        while (due == null && tick < now) {
-            if (now - tick > SLOTS && live == 0) {
-                tick = now; // nothing to look for on the way
+        while (dueHead == null && currentTick < now) {
+            if (now - currentTick > SLOT_COUNT && pendingTimers == 0) {
+                currentTick = now; // nothing to look for on the way
                 return null;
             }
-            tick++;
-            pass((int) (tick & SLOTS - 1));
+            currentTick++;
+            collectDue((int) (currentTick & SLOT_COUNT - 1));
         }
-        Timer t = due;
+        Timer t = dueHead;
         if (t == null) {
             return null;
         }
         unlink(t);
-        live--;
+        pendingTimers--;
         Runnable task = t.task;
         t.task = null;
         return task;
     }
 
-    private void pass(int slot) {
-        Timer t = first[slot];
+    private void collectDue(int slot) {
+        Timer t = slotHeads[slot];
         while (t != null) {
-            Timer next = t.after;
-            if (t.atTick <= tick) {
+            Timer next = t.next;
+            if (t.dueTick <= currentTick) {
                 unlink(t);
-                append(t, Timer.DUE);
+                append(t, Timer.DUE_LIST);
             }
             t = next;
         }
     }
 
     /** How long nothing comes due from that time on, in microseconds: 0 where something may, at most some 65 ms. */
-    public long waitUs(long nowUs) {
-        if (due != null) {
+    public long idleTimeUs(long nowUs) {
+        if (dueHead != null) {
             return 0;
         }
-        for (long ahead = tick + 1; ahead <= tick + HORIZON; ahead++) {
-            for (Timer t = first[(int) (ahead & SLOTS - 1)]; t != null; t = t.after) {
-                if (t.atTick <= ahead) {
+        for (long ahead = currentTick + 1; ahead <= currentTick + LOOKAHEAD_TICKS; ahead++) {
+            for (Timer t = slotHeads[(int) (ahead & SLOT_COUNT - 1)]; t != null; t = t.next) {
+                if (t.dueTick <= ahead) {
                     return Math.max(0, (ahead << TICK_BITS) - nowUs);
                 }
             }
         }
-        return Math.max(0, (tick + HORIZON << TICK_BITS) - nowUs);
+        return Math.max(0, (currentTick + LOOKAHEAD_TICKS << TICK_BITS) - nowUs);
     }
 
     /** Timers that are still to come. */
     public int size() {
-        return live;
+        return pendingTimers;
     }
 
     private void append(Timer t, int slot) {
-        Timer tail = slot == Timer.DUE ? dueEnd : last[slot];
+        Timer tail = slot == Timer.DUE_LIST ? dueTail : slotTails[slot];
         t.slot = slot;
-        t.before = tail;
-        t.after = null;
+        t.previous = tail;
+        t.next = null;
         if (tail != null) {
-            tail.after = t;
+            tail.next = t;
         } else {
-            head(slot, t);
+            setHead(slot, t);
         }
-        tail(slot, t);
+        setTail(slot, t);
     }
 
     private void unlink(Timer t) {
-        if (t.before != null) {
-            t.before.after = t.after;
+        if (t.previous != null) {
+            t.previous.next = t.next;
         } else {
-            head(t.slot, t.after);
+            setHead(t.slot, t.next);
         }
-        if (t.after != null) {
-            t.after.before = t.before;
+        if (t.next != null) {
+            t.next.previous = t.previous;
         } else {
-            tail(t.slot, t.before);
+            setTail(t.slot, t.previous);
         }
-        t.before = null;
-        t.after = null;
-        t.slot = Timer.NOWHERE;
+        t.previous = null;
+        t.next = null;
+        t.slot = Timer.UNLINKED;
     }
 
-    private void head(int slot, Timer t) {
-        if (slot == Timer.DUE) {
-            due = t;
+    private void setHead(int slot, Timer t) {
+        if (slot == Timer.DUE_LIST) {
+            dueHead = t;
         } else {
-            first[slot] = t;
+            slotHeads[slot] = t;
         }
     }
 
-    private void tail(int slot, Timer t) {
-        if (slot == Timer.DUE) {
-            dueEnd = t;
+    private void setTail(int slot, Timer t) {
+        if (slot == Timer.DUE_LIST) {
+            dueTail = t;
         } else {
-            last[slot] = t;
+            slotTails[slot] = t;
         }
     }
 }
--- a/core/src/test/java/hookweir/CrowdedListService.java
+++ b/core/src/test/java/hookweir/CrowdedListService.java
@@ -1,6 +1,6 @@
 package hookweir;
 
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -51,7 +51,7 @@
     void loseAllWatches() {
         for (int i = 0; i < watching.length; i++) {
             watching[i] = false;
-            callers.get(i).policy.workerListFailed(callers.get(i).now, CallFailure.WATCH_ENDED);
+            callers.get(i).policy.workerListFailed(callers.get(i).now, ListCallFailure.WATCH_ENDED);
         }
     }
 
@@ -81,7 +81,7 @@
             if (nowUs - call.atUs >= LONGEST_WAIT_US) {
                 waiting.remove(call);
                 RecordingHost caller = callers.get(call.caller);
-                caller.policy.workerListFailed(caller.now, CallFailure.UNANSWERED);
+                caller.policy.workerListFailed(caller.now, ListCallFailure.UNANSWERED);
             }
         }
     }
--- a/core/src/test/java/hookweir/membership/ListLeaseOrdersTest.java
+++ b/core/src/test/java/hookweir/membership/ListLeaseExhaustiveTest.java
@@ -14,7 +14,7 @@
  * watch that ends or falls silent, a change of the list, a new process, a move. In none may an attempt begin when the change counts as
  * told and has not been read, but where the lease's own comment says so.
  */
-final class ListLeaseOrdersTest {
+final class ListLeaseExhaustiveTest {
     private static final long STEP_US = 1_000_000;
     private static final int STEPS = 18;
     private static final long NEVER = Long.MAX_VALUE;
@@ -86,8 +86,8 @@
                 case MOVES -> {
                     moved = true;
                     watch = Watch.NONE;
-                    lease.moved(nowUs());
-                    toldUs = changed && !delivered ? Math.min(toldUs, nowUs() + ListLease.TOLD_AFTER_MOVE_US) : toldUs;
+                    lease.serviceMoved(nowUs());
+                    toldUs = changed && !delivered ? Math.min(toldUs, nowUs() + ListLease.MOVE_NOTIFICATION_DEADLINE_US) : toldUs;
                 }
                 default -> { }
             }
@@ -95,16 +95,16 @@
 
         private void countsFrom(long us) {
             if (changed && !delivered) {
-                toldUs = Math.min(toldUs, us + ListLease.TOLD_US);
+                toldUs = Math.min(toldUs, us + ListLease.NOTIFICATION_DEADLINE_US);
             }
         }
 
         private void endWatch() {
             if (watch == Watch.OPEN) {
-                lease.callFailed(CallFailure.WATCH_ENDED, nowUs());
+                lease.callFailed(ListCallFailure.WATCH_ENDED, nowUs());
             } else if (watch == Watch.SILENT) {
                 // An end that is seen after a silence: what came between is unknown.
-                lease.callFailed(silentFor > 0 ? CallFailure.WATCH_SILENT : CallFailure.WATCH_ENDED, nowUs());
+                lease.callFailed(silentFor > 0 ? ListCallFailure.WATCH_SILENT : ListCallFailure.WATCH_ENDED, nowUs());
             }
             watch = Watch.NONE;
             silentFor = 0;
@@ -112,7 +112,7 @@
 
         private void schedulerActs(Mood mood, boolean refusedWhileDown) {
             if (watch == Watch.SILENT && ++silentFor >= SILENCE_STEPS) {
-                lease.callFailed(CallFailure.WATCH_SILENT, nowUs());
+                lease.callFailed(ListCallFailure.WATCH_SILENT, nowUs());
                 watch = Watch.NONE;
                 silentFor = 0;
             }
@@ -123,7 +123,7 @@
                 delivered = changed;
                 lease.confirmed(nowUs());
             } else if (watch == Watch.NONE) {
-                lease.callFailed(!up && refusedWhileDown ? CallFailure.REFUSED : CallFailure.UNANSWERED, nowUs());
+                lease.callFailed(!up && refusedWhileDown ? ListCallFailure.REFUSED : ListCallFailure.UNANSWERED, nowUs());
             }
         }
 
@@ -142,12 +142,12 @@
 
         /** The change counts as told, was not read, and the lease lets an attempt begin. */
         boolean isBroken() {
-            return changed && !delivered && nowUs() >= toldUs && lease.permits(nowUs());
+            return changed && !delivered && nowUs() >= toldUs && lease.isValidAt(nowUs());
         }
 
         /** What decides all that may come; worlds that differ in times alone are one. */
         String key() {
-            long left = Math.max(-1, lease.untilUs() - nowUs());
+            long left = Math.max(-1, lease.expiresAtUs() - nowUs());
             long toTold = toldUs == NEVER ? NEVER : Math.max(-1, toldUs - nowUs());
             return up + "," + watch + silentFor + changed + delivered + restarted + moved + outageSeen + lease.phase() + "," + left + "," + toTold
                 + "," + lease;
@@ -209,6 +209,6 @@
             world = world.next(Step.NOTHING, Mood.BUSY, true);
         }
         assertTrue(world.changed && !world.delivered && world.nowUs() >= world.toldUs);
-        assertEquals(false, world.lease.permits(world.nowUs()));
+        assertEquals(false, world.lease.isValidAt(world.nowUs()));
     }
 }
--- a/core/src/test/java/hookweir/membership/WorkerStartsTest.java
+++ b/core/src/test/java/hookweir/membership/WorkerStartTimesTest.java
@@ -8,47 +8,47 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clocks that disagree by seconds or an hour, both ways, make no worker that has just started look warm, nor cold for longer. */
-final class WorkerStartsTest {
+final class WorkerStartTimesTest {
     private static final long NOW_US = 1_700_000_000_000_000L;
     private static final long S = 1_000_000;
-    private final WorkerStarts starts = new WorkerStarts();
+    private final WorkerStartTimes starts = new WorkerStartTimes();
 
     @ParameterizedTest
     @ValueSource(longs = {-3600, -30, -11, -1, 0, 5, 3600})
     void aStartThatIsNewsIsRecentWhateverItsStamp(long aheadS) {
-        long started = starts.startedUs(1, NOW_US + (aheadS - 2) * S, NOW_US, true);
-        assertTrue(started <= NOW_US && started >= NOW_US - WorkerStarts.LATEST_US, "age " + (NOW_US - started));
+        long started = starts.startTimeUs(1, NOW_US + (aheadS - 2) * S, NOW_US, true);
+        assertTrue(started <= NOW_US && started >= NOW_US - WorkerStartTimes.MAX_LIST_DELAY_US, "age " + (NOW_US - started));
     }
 
     @Test
     void aStampThatFitsIsBelieved() {
-        assertEquals(NOW_US - 3 * S, starts.startedUs(1, NOW_US - 3 * S, NOW_US, true));
-        assertEquals(NOW_US - 60 * S, starts.startedUs(2, NOW_US - 60 * S, NOW_US, false));
+        assertEquals(NOW_US - 3 * S, starts.startTimeUs(1, NOW_US - 3 * S, NOW_US, true));
+        assertEquals(NOW_US - 60 * S, starts.startTimeUs(2, NOW_US - 60 * S, NOW_US, false));
     }
 
     @Test
     void aWorkerKeepsItsAgeThroughLaterListsAndAnAbsence() {
-        long started = starts.startedUs(1, NOW_US - 3600 * S, NOW_US, true);
-        assertEquals(started, starts.startedUs(1, NOW_US - 3600 * S, NOW_US + 60 * S, true));
+        long started = starts.startTimeUs(1, NOW_US - 3600 * S, NOW_US, true);
+        assertEquals(started, starts.startTimeUs(1, NOW_US - 3600 * S, NOW_US + 60 * S, true));
     }
 
     @Test
     void aRestartIsNew() {
-        starts.startedUs(1, NOW_US - 3 * S, NOW_US, true);
-        assertEquals(NOW_US + 50 * S, starts.startedUs(1, NOW_US + 3600 * S, NOW_US + 50 * S, true));
+        starts.startTimeUs(1, NOW_US - 3 * S, NOW_US, true);
+        assertEquals(NOW_US + 50 * S, starts.startTimeUs(1, NOW_US + 3600 * S, NOW_US + 50 * S, true));
     }
 
     @Test
     void longAgoIsLongAgo() {
-        assertEquals(0, starts.startedUs(1, 0, NOW_US, true));
+        assertEquals(0, starts.startTimeUs(1, 0, NOW_US, true));
         assertEquals(0, starts.size());
     }
 
     @Test
     void daysOfReplacedWorkersAreNotRemembered() {
-        for (int id = 0; id < 3 * WorkerStarts.MOST; id++) {
-            starts.startedUs(id, NOW_US, NOW_US, true);
+        for (int id = 0; id < 3 * WorkerStartTimes.MAX_WORKERS; id++) {
+            starts.startTimeUs(id, NOW_US, NOW_US, true);
         }
-        assertEquals(WorkerStarts.MOST, starts.size());
+        assertEquals(WorkerStartTimes.MAX_WORKERS, starts.size());
     }
 }
--- a/core/src/test/java/hookweir/timer/TimerWheelTest.java
+++ b/core/src/test/java/hookweir/timer/TimerWheelTest.java
@@ -31,7 +31,7 @@
             int number = i;
             if (random.nextInt(3) > 0) {
                 long at = now + (random.nextInt(4) == 0 ? random.nextInt(30_000_000) : random.nextInt(20_000)) - 2_000;
-                timers.put(i, wheel.set(at, () -> fired.add(number)));
+                timers.put(i, wheel.schedule(at, () -> fired.add(number)));
                 expected.put(i, at);
             }
             if (random.nextInt(4) == 0 && !expected.isEmpty()) {
@@ -40,7 +40,7 @@
                 expected.remove(victim);
             }
             now += random.nextInt(10) == 0 ? random.nextInt(12_000_000) : random.nextInt(3_000);
-            assertTrue(wheel.waitUs(now) <= 70_000);
+            assertTrue(wheel.idleTimeUs(now) <= 70_000);
             for (Runnable task = wheel.poll(now); task != null; task = wheel.poll(now)) {
                 task.run();
             }
@@ -62,7 +62,7 @@
         WeakReference<Object> seen = null;
         for (int i = 0; i < 1_000_000; i++) {
             byte[] held = new byte[100];
-            TimerWheel.Timer t = wheel.set(25_000_000L + i, () -> held[0]++);
+            TimerWheel.Timer t = wheel.schedule(25_000_000L + i, () -> held[0]++);
             if (i == 500_000) {
                 seen = new WeakReference<>(held);
             }
@@ -79,14 +79,14 @@
     @Test
     void theOneBeforeCancels() {
         TimerWheel wheel = new TimerWheel(0);
-        wheel.set(10_000, NOTHING);
-        TimerWheel.Timer second = wheel.set(10_000, NOTHING);
+        wheel.schedule(10_000, NOTHING);
+        TimerWheel.Timer second = wheel.schedule(10_000, NOTHING);
         assertEquals(NOTHING, wheel.poll(20_000));
-        assertTrue(second.isSet());
+        assertTrue(second.isPending());
         second.cancel();
         second.cancel();
         assertNull(wheel.poll(20_000));
-        assertFalse(second.isSet());
+        assertFalse(second.isPending());
         assertEquals(0, wheel.size());
     }
 
@@ -95,7 +95,7 @@
     void longSleeps() {
         TimerWheel wheel = new TimerWheel(0);
         assertNull(wheel.poll(3_600_000_000L));
-        wheel.set(7_200_000_000L, NOTHING);
+        wheel.schedule(7_200_000_000L, NOTHING);
         assertNull(wheel.poll(7_199_999_000L));
         assertEquals(NOTHING, wheel.poll(7_200_001_024L));
     }
--- a/lab/src/main/java/hookweir/lab/scale/HollowScheduler.java
+++ b/lab/src/main/java/hookweir/lab/scale/HollowScheduler.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.Contract.Outcome;
 import hookweir.Policy;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -64,7 +64,7 @@
     private final Contract.Settings settings;
     private final Policy policy;
     private final LinkPool links;
-    private final Room room;
+    private final ResourceBudget room;
     private final Map<Integer, Job> jobs = new HashMap<>();
     /** When the figures last heard of each worker were made; negative where none was heard. */
     private final long[] figureUs;
@@ -86,8 +86,8 @@
         policy = new Policy(settings, seed, this);
         figureUs = new long[world.workers.size()];
         java.util.Arrays.fill(figureUs, -1);
-        room = new Room(HELD_BYTES, HELD_JOBS);
-        room.descriptors(DESCRIPTORS);
+        room = new ResourceBudget(HELD_BYTES, HELD_JOBS);
+        room.setMaxDescriptors(DESCRIPTORS);
         links = new LinkPool(queue, world.network, traffic, zone, room, this::accepted, () -> world.workers.size());
         stopPolling = world.configuration.poll(() -> policy.settingsChanged(queue.nowUs(), settings));
         policy.workerListReceived(queue.nowUs(), false, List.of());
@@ -275,7 +275,7 @@
             callers.values().removeIf(Deque::isEmpty);
             accepted = callers.values().stream().mapToInt(Deque::size).sum();
         }
-        return Math.min(accepted, room.mostAccepted(links.open()));
+        return Math.min(accepted, room.maxAcceptedConnections(links.open()));
     }
 
     @Override
--- a/lab/src/main/java/hookweir/lab/scale/LinkPool.java
+++ b/lab/src/main/java/hookweir/lab/scale/LinkPool.java
@@ -1,6 +1,6 @@
 package hookweir.lab.scale;
 
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Iterator;
@@ -46,14 +46,14 @@
     private final Network network;
     private final Traffic traffic;
     private final int zone;
-    private final Room room;
+    private final ResourceBudget room;
     private final IntSupplier accepted;
     private final IntSupplier listed;
     private final Map<Integer, Deque<Link>> idle = new TreeMap<>();
     private int open;
     private boolean closed;
 
-    LinkPool(EventQueue queue, Network network, Traffic traffic, int zone, Room room, IntSupplier accepted, IntSupplier listed) {
+    LinkPool(EventQueue queue, Network network, Traffic traffic, int zone, ResourceBudget room, IntSupplier accepted, IntSupplier listed) {
         this.queue = queue;
         this.network = network;
         this.traffic = traffic;
@@ -107,7 +107,7 @@
     }
 
     private void dial(HollowWorker worker, MessageKind kind, Consumer<Link> up) {
-        if (closed || !network.reaches(zone, worker) || !room.mayDial(open, accepted.getAsInt()) && !evict()) {
+        if (closed || !network.reaches(zone, worker) || !room.mayConnectToWorker(open, accepted.getAsInt()) && !evict()) {
             queue.after(DIAL_LIMIT_US, () -> up.accept(null));
             return;
         }
@@ -136,7 +136,7 @@
         link.idleSinceUs = queue.nowUs();
         link.settledUs = queue.nowUs() + settleUs;
         links.addFirst(link);
-        if (links.size() > Math.max(MOST_IDLE, room.mostIdleLinks() / Math.max(1, listed.getAsInt()))) {
+        if (links.size() > Math.max(MOST_IDLE, room.maxIdleWorkerConnections() / Math.max(1, listed.getAsInt()))) {
             links.pollLast();
             open--;
         }
--- a/lab/src/test/java/hookweir/lab/scale/LinkPoolTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/LinkPoolTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,13 +19,13 @@
     private final EventQueue queue = new EventQueue();
     private final Network network = new Network();
     private final Traffic traffic = new Traffic();
-    private final Room room = new Room(1 << 20, 16);
+    private final ResourceBudget room = new ResourceBudget(1 << 20, 16);
     private final HollowWorker worker = new HollowWorker(0);
     private final LinkPool pool = new LinkPool(queue, network, traffic, 0, room, () -> 0, () -> DESCRIPTORS);
     private final List<LinkPool.Link> got = new ArrayList<>();
 
     LinkPoolTest() {
-        room.descriptors(DESCRIPTORS);
+        room.setMaxDescriptors(DESCRIPTORS);
     }
 
     private LinkPool.Link acquire(HollowWorker from) {
@@ -80,13 +80,13 @@
     void openLinksStayWithinTheirShareOfTheDescriptors() {
         for (int id = 0; id < DESCRIPTORS; id++) {
             pool.release(acquire(new HollowWorker(id)), 0);
-            assertTrue(pool.open() <= DESCRIPTORS * Room.LINKS_SHARE, "open " + pool.open());
+            assertTrue(pool.open() <= DESCRIPTORS * ResourceBudget.MAX_WORKER_CONNECTION_SHARE, "open " + pool.open());
         }
         for (int id = 0; id < DESCRIPTORS; id++) {
             pool.acquire(new HollowWorker(id), MessageKind.PROBE_CONNECTION, got::add);
         }
         queue.runUntil(queue.nowUs() + SECOND_US);
-        assertTrue(pool.open() <= DESCRIPTORS * Room.LINKS_SHARE, "open " + pool.open());
+        assertTrue(pool.open() <= DESCRIPTORS * ResourceBudget.MAX_WORKER_CONNECTION_SHARE, "open " + pool.open());
         assertTrue(got.contains(null), "those beyond the share get none");
     }
 }
--- a/node/src/main/java/hookweir/Main.java
+++ b/node/src/main/java/hookweir/Main.java
@@ -1,8 +1,8 @@
 package hookweir;
 
-import hookweir.config.BadSetting;
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
+import hookweir.config.InvalidSettingException;
 import hookweir.net.Node;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -16,8 +16,8 @@
 
 /** The command line. */
 public final class Main {
-    private static final int USAGE = 2;
-    private static final int FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
 
     /** A sub-command. */
     abstract static class Command {
@@ -28,7 +28,7 @@
         abstract int run() throws IOException, InterruptedException;
 
         /** What it does, in a line. */
-        abstract String what();
+        abstract String description();
 
         /** A call of it, for its help. */
         abstract String example();
@@ -58,13 +58,13 @@
             System.err.println("hookweir: " + e.getMessage());
             System.err.println("usage: java -jar hookweir.jar COMMAND, where COMMAND --help tells more");
             parser.printUsage(System.err);
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         if (main.help) {
             System.out.println("usage: java -jar hookweir.jar COMMAND, where COMMAND --help tells more");
             parser.printUsage(System.out);
         } else if (main.command.help) {
-            System.out.println(main.command.what());
+            System.out.println(main.command.description());
             new CmdLineParser(main.command).printUsage(System.out);
             System.out.println("example: " + main.command.example());
         } else {
@@ -75,7 +75,7 @@
     /** The scheduler. */
     public static final class Serve extends Command {
         @Override
-        String what() {
+        String description() {
             return "The scheduler on sockets, told by the RELAY_ variables: see README.md.";
         }
 
@@ -90,9 +90,9 @@
             Config config;
             try {
                 config = ConfigReader.fromEnvironment(System.getenv());
-            } catch (BadSetting e) {
+            } catch (InvalidSettingException e) {
                 System.err.println("hookweir: " + e.getMessage());
-                return FAILED;
+                return EXIT_FAILURE;
             }
             return new Node(config).serve();
         }
@@ -101,7 +101,7 @@
     /** The simulator's wire on standard input and output. */
     public static final class Adapter extends Command {
         @Override
-        String what() {
+        String description() {
             return "The same decisions on the simulator's wire, on standard input and output.";
         }
 
@@ -120,7 +120,7 @@
     /** Checks a configuration without serving. */
     public static final class CheckConfig extends Command {
         @Override
-        String what() {
+        String description() {
             return "Checks a configuration and names the faulty key.";
         }
 
@@ -136,12 +136,12 @@
         int run() {
             try {
                 Config c = ConfigReader.fromFile(Path.of(file), System.getenv());
-                System.out.println("ok: " + c.name() + " on " + c.listen() + ", discovery " + c.discovery() + ", "
-                    + c.settings().settings.classes.size() + " classes, hand-over " + (c.handover() ? "on" : "off"));
+                System.out.println("ok: " + c.name() + " on " + c.listenAddress() + ", discovery " + c.listServiceAddress() + ", "
+                    + c.settings().policySettings.classes.size() + " classes, hand-over " + (c.handoverEnabled() ? "on" : "off"));
                 return 0;
-            } catch (BadSetting e) {
+            } catch (InvalidSettingException e) {
                 System.err.println("hookweir: " + e.getMessage());
-                return FAILED;
+                return EXIT_FAILURE;
             }
         }
     }
@@ -149,7 +149,7 @@
     /** Serves itself a few requests and ends. */
     public static final class Rehearse extends Command {
         @Override
-        String what() {
+        String description() {
             return "Serves itself a few requests and ends.";
         }
 
@@ -160,16 +160,16 @@
 
         @Override
         int run() throws IOException, InterruptedException {
-            boolean right = Rehearsal.plays();
+            boolean right = Rehearsal.run();
             System.out.println(right ? "rehearsal ok" : "rehearsal failed");
-            return right ? 0 : FAILED;
+            return right ? 0 : EXIT_FAILURE;
         }
     }
 
     /** Prints the version. */
     public static final class Version extends Command {
         @Override
-        String what() {
+        String description() {
             return "Prints the version.";
         }
 
--- a/node/src/main/java/hookweir/Rehearsal.java
+++ b/node/src/main/java/hookweir/Rehearsal.java
@@ -1,7 +1,7 @@
 package hookweir;
 
-import hookweir.config.BadSetting;
 import hookweir.config.ConfigReader;
+import hookweir.config.InvalidSettingException;
 import hookweir.net.Node;
 import java.io.IOException;
 import java.io.InputStream;
@@ -26,7 +26,7 @@
     }
 
     /** True if each request was answered as it should be. */
-    static boolean plays() throws IOException, InterruptedException {
+    static boolean run() throws IOException, InterruptedException {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -36,7 +36,7 @@
         try {
             Files.writeString(file, config("127.0.0.1:" + port));
             node = new Node(ConfigReader.fromFile(file, Map.of()));
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             throw new IllegalStateException(e);
         } finally {
             Files.delete(file);
@@ -50,21 +50,21 @@
             }
         });
         loop.start();
-        boolean right = becomesReady(port);
+        boolean right = waitUntilReady(port);
         // Sent on to this same scheduler, the id is there already, so the only worker fails it.
-        right &= ask(port, post("/api/1", "Req-Id: 1\r\nReq-Kind: k\r\nReq-Deadline-Ms: 1000\r\n", "work")).startsWith("HTTP/1.1 429");
-        right &= ask(port, post("/callback", "", "{\"id\":\"2\",\"from\":\"w\",\"state\":\"done\",\"result\":\"\"}")).startsWith("HTTP/1.1 204");
-        right &= ask(node.adminPort(), "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200");
-        right &= ask(node.adminPort(), "GET /admin/stats HTTP/1.1\r\nHost: h\r\n\r\n").contains("svc_success_total{type=\"k\"}");
+        right &= sendAndReceive(port, post("/api/1", "Req-Id: 1\r\nReq-Kind: k\r\nReq-Deadline-Ms: 1000\r\n", "work")).startsWith("HTTP/1.1 429");
+        right &= sendAndReceive(port, post("/callback", "", "{\"id\":\"2\",\"from\":\"w\",\"state\":\"done\",\"result\":\"\"}")).startsWith("HTTP/1.1 204");
+        right &= sendAndReceive(node.adminPort(), "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200");
+        right &= sendAndReceive(node.adminPort(), "GET /admin/stats HTTP/1.1\r\nHost: h\r\n\r\n").contains("svc_success_total{type=\"k\"}");
         node.drain();
         loop.join();
         return right;
     }
 
     /** Its list service, which is itself, knows no list: it is ready once it has given up on that. */
-    private static boolean becomesReady(int port) throws IOException, InterruptedException {
+    private static boolean waitUntilReady(int port) throws IOException, InterruptedException {
         for (int i = 0; i < CLIENT_TIMEOUT_MS / POLL_MS; i++) {
-            if (ask(port, "GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").startsWith("HTTP/1.1 200")) {
+            if (sendAndReceive(port, "GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").startsWith("HTTP/1.1 200")) {
                 return true;
             }
             Thread.sleep(POLL_MS);
@@ -84,7 +84,7 @@
         return "POST " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String ask(int port, String message) throws IOException {
+    private static String sendAndReceive(int port, String message) throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(CLIENT_TIMEOUT_MS);
             s.getOutputStream().write(message.getBytes(StandardCharsets.US_ASCII));
--- a/node/src/main/java/hookweir/adapter/FrameReader.java
+++ b/node/src/main/java/hookweir/adapter/FrameReader.java
@@ -5,101 +5,101 @@
 
 /** Reads one frame at a time into a buffer and takes big-endian fields off it. */
 final class FrameReader {
-    static final int HEADER = 16;
-    private static final int MAX_FRAME = 1 << 30;
+    static final int HEADER_BYTES = 16;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private final InputStream in;
-    private byte[] buf = new byte[1 << 16];
-    private int at;
+    private byte[] buffer = new byte[1 << 16];
+    private int offset;
     private int end;
-    private long base;
+    private long frameStart;
 
     FrameReader(InputStream in) {
         this.in = in;
     }
 
     /** Reads the next frame; false at a clean end of input. */
-    boolean next() throws IOException, BadInput {
-        base += end;
-        at = 0;
+    boolean readFrame() throws IOException, InvalidInputException {
+        frameStart += end;
+        offset = 0;
         end = 0;
-        int got = in.readNBytes(buf, 0, HEADER);
+        int got = in.readNBytes(buffer, 0, HEADER_BYTES);
         if (got == 0) {
             return false;
         }
         end = got;
-        if (got < HEADER) {
-            throw new BadInput("input ends inside a frame header", base + got);
+        if (got < HEADER_BYTES) {
+            throw new InvalidInputException("input ends inside a frame header", frameStart + got);
         }
-        at = 4;
+        offset = 4;
         long length = u32();
-        if (length < HEADER || length > MAX_FRAME) {
-            throw new BadInput("frame length " + length + " is out of range", base + 4);
+        if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
+            throw new InvalidInputException("frame length " + length + " is out of range", frameStart + 4);
         }
-        if (length > buf.length) {
-            buf = java.util.Arrays.copyOf(buf, (int) Math.max(length, Math.min(2L * buf.length, MAX_FRAME)));
+        if (length > buffer.length) {
+            buffer = java.util.Arrays.copyOf(buffer, (int) Math.max(length, Math.min(2L * buffer.length, MAX_FRAME_BYTES)));
         }
-        int rest = (int) length - HEADER;
-        int body = in.readNBytes(buf, HEADER, rest);
-        end = HEADER + body;
+        int rest = (int) length - HEADER_BYTES;
+        int body = in.readNBytes(buffer, HEADER_BYTES, rest);
+        end = HEADER_BYTES + body;
         if (body < rest) {
-            throw new BadInput("input ends inside a frame of " + length + " bytes", base + end);
+            throw new InvalidInputException("input ends inside a frame of " + length + " bytes", frameStart + end);
         }
-        at = 0;
+        offset = 0;
         return true;
     }
 
     /** Position in the whole input of the next field. */
     long position() {
-        return base + at;
+        return frameStart + offset;
     }
 
-    boolean atEnd() {
-        return at == end;
+    boolean isAtEnd() {
+        return offset == end;
     }
 
-    private int need(int bytes) throws BadInput {
-        if (bytes < 0 || bytes > end - at) {
-            throw new BadInput("a record runs past the end of its frame", base + at);
+    private int advance(int bytes) throws InvalidInputException {
+        if (bytes < 0 || bytes > end - offset) {
+            throw new InvalidInputException("a record runs past the end of its frame", frameStart + offset);
         }
-        int from = at;
-        at += bytes;
+        int from = offset;
+        offset += bytes;
         return from;
     }
 
-    void skip(int bytes) throws BadInput {
-        need(bytes);
+    void skip(int bytes) throws InvalidInputException {
+        advance(bytes);
     }
 
-    int u8() throws BadInput {
-        return buf[need(1)] & 0xff;
+    int u8() throws InvalidInputException {
+        return buffer[advance(1)] & 0xff;
     }
 
-    int u16() throws BadInput {
-        int i = need(2);
-        return (buf[i] & 0xff) << 8 | buf[i + 1] & 0xff;
+    int u16() throws InvalidInputException {
+        int i = advance(2);
+        return (buffer[i] & 0xff) << 8 | buffer[i + 1] & 0xff;
     }
 
-    int i32() throws BadInput {
-        int i = need(4);
-        return buf[i] << 24 | (buf[i + 1] & 0xff) << 16 | (buf[i + 2] & 0xff) << 8 | buf[i + 3] & 0xff;
+    int i32() throws InvalidInputException {
+        int i = advance(4);
+        return buffer[i] << 24 | (buffer[i + 1] & 0xff) << 16 | (buffer[i + 2] & 0xff) << 8 | buffer[i + 3] & 0xff;
     }
 
-    long u32() throws BadInput {
+    long u32() throws InvalidInputException {
         return i32() & 0xffffffffL;
     }
 
-    long i64() throws BadInput {
+    long i64() throws InvalidInputException {
         long high = u32();
         return high << 32 | u32();
     }
 
-    float f32() throws BadInput {
+    float f32() throws InvalidInputException {
         return Float.intBitsToFloat(i32());
     }
 
-    byte[] bytes(long count) throws BadInput {
-        int from = need((int) Math.min(count, Integer.MAX_VALUE));
-        return java.util.Arrays.copyOfRange(buf, from, at);
+    byte[] bytes(long count) throws InvalidInputException {
+        int from = advance((int) Math.min(count, Integer.MAX_VALUE));
+        return java.util.Arrays.copyOfRange(buffer, from, offset);
     }
 }
--- a/node/src/main/java/hookweir/adapter/FrameWriter.java
+++ b/node/src/main/java/hookweir/adapter/FrameWriter.java
@@ -7,20 +7,20 @@
 
 /** Gathers the records of one reply and writes them as one frame. */
 final class FrameWriter {
-    private static final int HEADER = 8;
+    private static final int HEADER_BYTES = 8;
 
     private final OutputStream out;
-    private byte[] buf = new byte[1 << 16];
-    private int at = HEADER;
+    private byte[] buffer = new byte[1 << 16];
+    private int offset = HEADER_BYTES;
     private int records;
 
     FrameWriter(OutputStream out) {
         this.out = out;
     }
 
-    private void room(int bytes) {
-        if (buf.length - at < bytes) {
-            buf = Arrays.copyOf(buf, Math.max(2 * buf.length, at + bytes));
+    private void ensureCapacity(int bytes) {
+        if (buffer.length - offset < bytes) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, offset + bytes));
         }
     }
 
@@ -30,8 +30,8 @@
     }
 
     FrameWriter u8(int v) {
-        room(1);
-        buf[at++] = (byte) v;
+        ensureCapacity(1);
+        buffer[offset++] = (byte) v;
         return this;
     }
 
@@ -40,17 +40,17 @@
     }
 
     FrameWriter i32(int v) {
-        room(4);
-        buf[at] = (byte) (v >> 24);
-        buf[at + 1] = (byte) (v >> 16);
-        buf[at + 2] = (byte) (v >> 8);
-        buf[at + 3] = (byte) v;
-        at += 4;
+        ensureCapacity(4);
+        buffer[offset] = (byte) (v >> 24);
+        buffer[offset + 1] = (byte) (v >> 16);
+        buffer[offset + 2] = (byte) (v >> 8);
+        buffer[offset + 3] = (byte) v;
+        offset += 4;
         return this;
     }
 
     /** A time that the wire carries in 32 bits: held inside them. */
-    FrameWriter time32(long v) {
+    FrameWriter clampedU32(long v) {
         return i32((int) Math.max(0, Math.min(v, 0xffffffffL)));
     }
 
@@ -59,9 +59,9 @@
     }
 
     FrameWriter bytes(byte[] v, int from, int count) {
-        room(count);
-        System.arraycopy(v, from, buf, at, count);
-        at += count;
+        ensureCapacity(count);
+        System.arraycopy(v, from, buffer, offset, count);
+        offset += count;
         return this;
     }
 
@@ -73,13 +73,13 @@
 
     /** Writes the frame and starts a new one. */
     void flush() throws IOException {
-        int end = at;
+        int end = offset;
         int n = records;
-        at = 0;
+        offset = 0;
         i32(end).i32(n);
-        out.write(buf, 0, end);
+        out.write(buffer, 0, end);
         out.flush();
-        at = HEADER;
+        offset = HEADER_BYTES;
         records = 0;
     }
 }
--- a/node/src/main/java/hookweir/adapter/BadInput.java
+++ b/node/src/main/java/hookweir/adapter/InvalidInputException.java
@@ -1,10 +1,10 @@
 package hookweir.adapter;
 
 /** The input does not follow the wire. The message says what is wrong and at which byte of the input. */
-final class BadInput extends Exception {
+final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadInput(String what, long atByte) {
+    InvalidInputException(String what, long atByte) {
         super(what + " at byte " + atByte);
     }
 }
--- a/node/src/main/java/hookweir/adapter/Main.java
+++ b/node/src/main/java/hookweir/adapter/Main.java
@@ -33,7 +33,7 @@
         try {
             new Session(in, out).run();
             return 0;
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             err.println("hookweir adapter: " + e.getMessage());
             return 1;
         } catch (IOException e) {
--- a/node/src/main/java/hookweir/adapter/Session.java
+++ b/node/src/main/java/hookweir/adapter/Session.java
@@ -20,24 +20,24 @@
 /** Translates batches of the wire into events of {@link Contract} and its actions into replies. */
 final class Session {
     /** Makes the decisions of one instance. */
-    interface Maker {
-        Contract.Dispatcher make(Settings settings, long seed, Contract.Host host);
+    interface DispatcherFactory {
+        Contract.Dispatcher create(Settings settings, long seed, Contract.Host host);
     }
 
-    private static final int LISTS = 16;
+    private static final int MAX_LISTS = 16;
     private static final int ENTRY_BYTES = 23;
 
     private final FrameReader in;
     private final FrameWriter out;
-    private final Maker maker;
+    private final DispatcherFactory factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final List<List<Worker>> lists = new ArrayList<>();
     private final Report report = new Report();
-    private long now;
+    private long nowUs;
 
     /** One simulated dispatcher and its place on the wire. */
     private static final class Instance {
-        Contract.Dispatcher decisions;
+        Contract.Dispatcher dispatcher;
         String[] reportFields;
     }
 
@@ -45,48 +45,48 @@
         this(in, out, (settings, seed, host) -> new Policy(settings, seed, host));
     }
 
-    Session(InputStream in, OutputStream out, Maker maker) {
+    Session(InputStream in, OutputStream out, DispatcherFactory maker) {
         this.in = new FrameReader(in);
         this.out = new FrameWriter(out);
-        this.maker = maker;
-        for (int i = 0; i < LISTS; i++) {
+        this.factory = maker;
+        for (int i = 0; i < MAX_LISTS; i++) {
             lists.add(null);
         }
     }
 
-    void run() throws IOException, BadInput {
-        while (in.next()) {
+    void run() throws IOException, InvalidInputException {
+        while (in.readFrame()) {
             long records = in.u32();
             in.skip(4);
-            now = in.i64();
+            nowUs = in.i64();
             for (long i = 0; i < records; i++) {
-                event();
+                handleEvent();
             }
-            if (!in.atEnd()) {
-                throw new BadInput("bytes are left over behind the last record", in.position());
+            if (!in.isAtEnd()) {
+                throw new InvalidInputException("bytes are left over behind the last record", in.position());
             }
             out.flush();
         }
     }
 
-    private void event() throws BadInput {
+    private void handleEvent() throws InvalidInputException {
         long at = in.position();
         int code = in.u8();
         if (code == 8) {
-            ledger(at);
+            defineList(at);
             return;
         }
         if (code == 0 || code > 12) {
-            throw new BadInput("unknown event code " + code, at);
+            throw new InvalidInputException("unknown event code " + code, at);
         }
         int who = in.i32();
         if (code == 5) {
-            start(who, at);
+            startInstance(who, at);
             return;
         }
         Instance it = instances.get(who);
         if (it == null) {
-            throw new BadInput("event " + code + " for unknown instance " + Integer.toUnsignedString(who), at);
+            throw new InvalidInputException("event " + code + " for unknown instance " + Integer.toUnsignedString(who), at);
         }
         switch (code) {
             case 1 -> {
@@ -94,55 +94,55 @@
                 in.skip(4);
                 int attempt = in.u16();
                 in.skip(4);
-                guard(who, () -> it.decisions.streamStarted(now, id, attempt));
+                runGuarded(who, () -> it.dispatcher.streamStarted(nowUs, id, attempt));
             }
-            case 2 -> incoming(who, it);
+            case 2 -> deliverRequest(who, it);
             case 3 -> {
                 int id = in.i32();
                 int attempt = in.u16();
                 int worker = in.i32();
                 int topic = in.u8();
                 float share = in.f32();
-                guard(who, () -> it.decisions.progressReported(now, id, attempt, worker, topic == 1 ? 0 : share));
+                runGuarded(who, () -> it.dispatcher.progressReported(nowUs, id, attempt, worker, topic == 1 ? 0 : share));
             }
             case 4 -> {
                 int worker = in.i32();
                 long elapsed = in.u32();
-                Outcome outcome = outcome();
-                Report load = load(it);
-                guard(who, () -> it.decisions.probeEnded(now, worker, outcome, elapsed, load));
+                Outcome outcome = readOutcome();
+                Report load = readLoadReport(it);
+                runGuarded(who, () -> it.dispatcher.probeEnded(nowUs, worker, outcome, elapsed, load));
             }
             case 6 -> instances.remove(who);
             case 7 -> {
                 long token = in.i64();
-                guard(who, () -> it.decisions.timerExpired(now, token));
+                runGuarded(who, () -> it.dispatcher.timerExpired(nowUs, token));
             }
             case 9 -> {
                 int sender = in.i32();
                 byte[] body = in.bytes(in.u16());
-                guard(who, () -> it.decisions.peerMessageReceived(now, sender, body));
+                runGuarded(who, () -> it.dispatcher.peerMessageReceived(nowUs, sender, body));
             }
             case 10 -> {
                 int id = in.i32();
                 int attempt = in.u16();
                 int worker = in.i32();
-                Outcome outcome = outcome();
+                Outcome outcome = readOutcome();
                 long elapsed = in.u32();
                 boolean closed = in.u8() != 0;
                 in.skip(4);
-                Report load = load(it);
-                guard(who, () -> it.decisions.attemptEnded(now, id, attempt, worker, outcome, elapsed, closed, load));
+                Report load = readLoadReport(it);
+                runGuarded(who, () -> it.dispatcher.attemptEnded(nowUs, id, attempt, worker, outcome, elapsed, closed, load));
             }
-            case 11 -> targets(who, it);
+            case 11 -> deliverList(who, it);
             case 12 -> {
                 int id = in.i32();
-                guard(who, () -> it.decisions.requestAbandoned(now, id));
+                runGuarded(who, () -> it.dispatcher.requestAbandoned(nowUs, id));
             }
-            default -> throw new BadInput("unknown event code " + code, at);
+            default -> throw new InvalidInputException("unknown event code " + code, at);
         }
     }
 
-    private void start(int who, long at) throws BadInput {
+    private void startInstance(int who, long at) throws InvalidInputException {
         long seed = in.i64();
         long n = in.u32();
         long infoAt = in.position();
@@ -150,13 +150,13 @@
         Instance it = new Instance();
         it.reportFields = parsed.reportFields;
         instances.put(who, it);
-        guard(who, () -> it.decisions = maker.make(parsed.settings, seed, new WireHost(who, out)));
+        runGuarded(who, () -> it.dispatcher = factory.create(parsed.settings, seed, new WireHost(who, out)));
     }
 
-    private void ledger(long at) throws BadInput {
+    private void defineList(long at) throws InvalidInputException {
         int number = in.u16();
-        if (number >= LISTS) {
-            throw new BadInput("list number " + number + " is over " + (LISTS - 1), at + 1);
+        if (number >= MAX_LISTS) {
+            throw new InvalidInputException("list number " + number + " is over " + (MAX_LISTS - 1), at + 1);
         }
         long n = in.u32();
         List<Worker> entries = new ArrayList<>((int) Math.min(n, 1 << 16));
@@ -169,7 +169,7 @@
             w.id = in.i32();
             int state = in.u8();
             if (state > 2) {
-                throw new BadInput("unknown worker state " + state, entryAt + 16);
+                throw new InvalidInputException("unknown worker state " + state, entryAt + 16);
             }
             w.state = state == 1 ? WorkerState.READY : state == 0 ? WorkerState.DRAINING : WorkerState.GONE;
             w.size = in.f32();
@@ -179,26 +179,26 @@
         lists.set(number, entries);
     }
 
-    private void targets(int who, Instance it) throws BadInput {
+    private void deliverList(int who, Instance it) throws InvalidInputException {
         long at = in.position();
         int number = in.u16();
         in.skip(4);
         int scope = in.u8();
         if (scope == 3) {
-            guard(who, () -> it.decisions.workerListFailed(now));
+            runGuarded(who, () -> it.dispatcher.workerListFailed(nowUs));
             return;
         }
         if (scope > 3) {
-            throw new BadInput("unknown scope " + scope + " of a list", at + 6);
+            throw new InvalidInputException("unknown scope " + scope + " of a list", at + 6);
         }
-        List<Worker> entries = number < LISTS ? lists.get(number) : null;
+        List<Worker> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
-            throw new BadInput("list number " + number + " was not defined", at);
+            throw new InvalidInputException("list number " + number + " was not defined", at);
         }
-        guard(who, () -> it.decisions.workerListReceived(now, scope == 2, entries));
+        runGuarded(who, () -> it.dispatcher.workerListReceived(nowUs, scope == 2, entries));
     }
 
-    private void incoming(int who, Instance it) throws BadInput {
+    private void deliverRequest(int who, Instance it) throws InvalidInputException {
         Request request = new Request();
         request.id = in.i32();
         long hint = in.u32();
@@ -211,10 +211,10 @@
         request.key = in.i64();
         request.memory = in.f32();
         request.deadlineAtUs = in.i64();
-        guard(who, () -> it.decisions.requestAccepted(now, request));
+        runGuarded(who, () -> it.dispatcher.requestAccepted(nowUs, request));
     }
 
-    private Outcome outcome() throws BadInput {
+    private Outcome readOutcome() throws InvalidInputException {
         long at = in.position();
         int code = in.u16();
         return switch (code) {
@@ -226,11 +226,11 @@
             case 251 -> Outcome.RESET;
             case 250 -> Outcome.CANCELLED;
             case 249 -> Outcome.MOOT;
-            default -> throw new BadInput("unknown outcome " + code, at);
+            default -> throw new InvalidInputException("unknown outcome " + code, at);
         };
     }
 
-    private Report load(Instance it) throws BadInput {
+    private Report readLoadReport(Instance it) throws InvalidInputException {
         int n = in.u8();
         if (n == 0) {
             return null;
@@ -246,7 +246,7 @@
     }
 
     /** Runs one event; a failure of the decisions becomes FATAL. */
-    private void guard(int who, Runnable event) {
+    private void runGuarded(int who, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException | StackOverflowError e) {
--- a/node/src/main/java/hookweir/adapter/SettingsParser.java
+++ b/node/src/main/java/hookweir/adapter/SettingsParser.java
@@ -1,7 +1,7 @@
 package hookweir.adapter;
 
 import hookweir.Contract.Settings;
-import hookweir.config.BadSetting;
+import hookweir.config.InvalidSettingException;
 import hookweir.config.SettingsMapping;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -13,11 +13,11 @@
     final String[] reportFields;
 
     private SettingsParser(SettingsMapping mapped) {
-        settings = mapped.settings;
+        settings = mapped.policySettings;
         reportFields = mapped.reportFields;
     }
 
-    static SettingsParser parse(byte[] info, long atByte) throws BadInput {
+    static SettingsParser parse(byte[] info, long atByte) throws InvalidInputException {
         Map<String, String> values = new HashMap<>();
         Map<String, Long> places = new HashMap<>();
         int from = 0;
@@ -32,14 +32,14 @@
                 values.put(line.substring(0, eq), line.substring(eq + 1));
                 places.put(line.substring(0, eq), atByte + from);
             } else if (!line.isEmpty()) {
-                throw new BadInput("setting without '='", atByte + from);
+                throw new InvalidInputException("setting without '='", atByte + from);
             }
             from = to + 1;
         }
         try {
             return new SettingsParser(SettingsMapping.of(values));
-        } catch (BadSetting e) {
-            throw new BadInput(e.getMessage(), places.getOrDefault(e.key, atByte));
+        } catch (InvalidSettingException e) {
+            throw new InvalidInputException(e.getMessage(), places.getOrDefault(e.key, atByte));
         }
     }
 }
--- a/node/src/main/java/hookweir/config/ConfigReader.java
+++ b/node/src/main/java/hookweir/config/ConfigReader.java
@@ -15,23 +15,23 @@
 
 /** The one place where configuration is read, checked and given defaults. */
 public final class ConfigReader {
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int LEAST_SOCKETS = 64;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final int MIN_MAX_DESCRIPTORS = 64;
     /** One body of the largest size must fit into what jobs may take. */
-    private static final int LEAST_HELD_BYTES = 256 * 1024;
-    private static final int LEAST_HELD_JOBS = 16;
+    private static final int MIN_HELD_BYTES = 256 * 1024;
+    private static final int MIN_HELD_JOBS = 16;
     private static final double HELD_SHARE_OF_HEAP = 0.3;
     /** What a job takes beside its body: its request, the module's own, its attempt and its link. */
-    private static final int BYTES_A_JOB = 4096;
+    private static final int OVERHEAD_BYTES_PER_JOB = 4096;
 
     private ConfigReader() {
     }
 
     /** Reads the file that RELAY_CONFIG names; the other RELAY_ variables, where set, win over its keys. */
-    public static Config fromEnvironment(Map<String, String> env) throws BadSetting {
+    public static Config fromEnvironment(Map<String, String> env) throws InvalidSettingException {
         String file = env.get("RELAY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new BadSetting("RELAY_CONFIG", "is not set: it names the configuration file");
+            throw new InvalidSettingException("RELAY_CONFIG", "is not set: it names the configuration file");
         }
         return fromFile(Path.of(file), env);
     }
@@ -41,126 +41,126 @@
      * discovery, as the file may name another by now. A key that the running configuration has and this one lacks is
      * a fault, as a default in its place would change what nobody asked to change.
      */
-    public static Config again(Map<String, String> env, Config running) throws BadSetting {
+    public static Config reload(Map<String, String> env, Config running) throws InvalidSettingException {
         Map<String, String> told = new HashMap<>(env);
         told.remove("RELAY_DISCOVERY");
         Config next = fromEnvironment(told);
-        compare("", running.source(), next.source());
-        next.settings().continues(running.settings());
+        checkReloadable("", running.sourceJson(), next.sourceJson());
+        next.settings().keepClassNumbersOf(running.settings());
         return next;
     }
 
-    private static void compare(String path, JsonNode running, JsonNode next) throws BadSetting {
+    private static void checkReloadable(String path, JsonNode running, JsonNode next) throws InvalidSettingException {
         String dot = path.isEmpty() ? "" : path + ".";
         if (running.isNumber() && !next.isNumber() || running.isObject() && !next.isObject() || running.isArray() && !next.isArray()) {
-            throw new BadSetting(path, "is not of the kind that the running configuration has");
+            throw new InvalidSettingException(path, "is not of the kind that the running configuration has");
         }
         for (Map.Entry<String, JsonNode> e : running.properties()) {
             if (!next.hasNonNull(e.getKey()) && !e.getValue().isNull()) {
-                throw new BadSetting(dot + e.getKey(), "is missing, and the running configuration has it");
+                throw new InvalidSettingException(dot + e.getKey(), "is missing, and the running configuration has it");
             }
             if (!path.isEmpty() || !e.getKey().equals("known")) { // workers come and go
-                compare(dot + e.getKey(), e.getValue(), next.path(e.getKey()));
+                checkReloadable(dot + e.getKey(), e.getValue(), next.path(e.getKey()));
             }
         }
         if (running.isArray() && !running.isEmpty() && running.get(0).isObject()) {
             ObjectNode common = running.get(0).deepCopy(); // what each has of a list whose items may come and go
-            running.forEach(item -> common.retain(names(item)));
+            running.forEach(item -> common.retain(fieldNames(item)));
             for (int i = 0; i < next.size(); i++) {
-                compare(dot + i, common, next.get(i));
+                checkReloadable(dot + i, common, next.get(i));
             }
         }
     }
 
-    private static List<String> names(JsonNode object) {
+    private static List<String> fieldNames(JsonNode object) {
         List<String> names = new ArrayList<>();
         object.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
     /** Reads one file. */
-    public static Config fromFile(Path file, Map<String, String> env) throws BadSetting {
+    public static Config fromFile(Path file, Map<String, String> env) throws InvalidSettingException {
         JsonNode root;
         try {
             root = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).readTree(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new BadSetting("RELAY_CONFIG", "names a file that can't be read as JSON: " + e.getMessage());
+            throw new InvalidSettingException("RELAY_CONFIG", "names a file that can't be read as JSON: " + e.getMessage());
         }
-        return of(root, env);
+        return parse(root, env);
     }
 
     /** Checks a parsed configuration. */
-    static Config of(JsonNode root, Map<String, String> env) throws BadSetting {
+    static Config parse(JsonNode root, Map<String, String> env) throws InvalidSettingException {
         if (root == null || !root.isObject()) {
-            throw new BadSetting("RELAY_CONFIG", "must hold a JSON object");
+            throw new InvalidSettingException("RELAY_CONFIG", "must hold a JSON object");
         }
         JsonNode nested = root.path("settings");
         if (!nested.isObject()) {
-            throw new BadSetting("settings", "must be an object");
+            throw new InvalidSettingException("settings", "must be an object");
         }
         Map<String, String> pairs = new HashMap<>();
         flatten("", nested, pairs);
         SettingsMapping settings = SettingsMapping.of(pairs);
-        if (settings.settings.classes.isEmpty()) {
-            throw new BadSetting("settings.classes", "must list at least one class");
+        if (settings.policySettings.classes.isEmpty()) {
+            throw new InvalidSettingException("settings.classes", "must list at least one class");
         }
-        for (int i = 0; i < settings.settings.classes.size(); i++) {
-            if (settings.settings.classes.get(i).deadlineUs <= 0) {
-                throw new BadSetting("classes." + i + ".deadline_us", "must be above 0");
+        for (int i = 0; i < settings.policySettings.classes.size(); i++) {
+            if (settings.policySettings.classes.get(i).deadlineUs <= 0) {
+                throw new InvalidSettingException("classes." + i + ".deadline_us", "must be above 0");
             }
         }
-        for (int i = 0; i < settings.settings.tenantRatePerS.length; i++) {
+        for (int i = 0; i < settings.policySettings.tenantRatePerS.length; i++) {
             if (!settings.tenantNumbers.containsValue(i)) {
-                throw new BadSetting("orgs." + i + ".name", "is missing"); // clients' requests say whose they are by it
+                throw new InvalidSettingException("orgs." + i + ".name", "is missing"); // clients' requests say whose they are by it
             }
         }
-        if (settings.settings.maxAttempts <= 0) {
-            throw new BadSetting("limits.max_attempts", "must be above 0");
+        if (settings.policySettings.maxAttempts <= 0) {
+            throw new InvalidSettingException("limits.max_attempts", "must be above 0");
         }
-        if (settings.dialTimeoutUs <= 0) {
-            throw new BadSetting("limits.dial_timeout_us", "must be above 0");
+        if (settings.connectTimeoutUs <= 0) {
+            throw new InvalidSettingException("limits.dial_timeout_us", "must be above 0");
         }
-        if (settings.connIdleUs <= 0) {
-            throw new BadSetting("limits.conn_idle_us", "must be above 0");
+        if (settings.connectionIdleTimeoutUs <= 0) {
+            throw new InvalidSettingException("limits.conn_idle_us", "must be above 0");
         }
         JsonNode known = root.path("known");
         if (!known.isMissingNode() && !known.isNull() && !known.path("servers").isArray()) {
-            throw new BadSetting("known", "must hold a list 'servers'");
+            throw new InvalidSettingException("known", "must hold a list 'servers'");
         }
-        boolean handover = handover(root, env);
-        InetSocketAddress listen = address("listen", text(root, "listen", env, "RELAY_LISTEN", ""));
-        String admin = text(root, "admin_addr", env, "RELAY_ADMIN_ADDR", "");
-        return new Config(text(root, "name", env, "RELAY_NAME", "hookweir"),
+        boolean handover = readHandover(root, env);
+        InetSocketAddress listen = requireAddress("listen", readText(root, "listen", env, "RELAY_LISTEN", ""));
+        String admin = readText(root, "admin_addr", env, "RELAY_ADMIN_ADDR", "");
+        return new Config(readText(root, "name", env, "RELAY_NAME", "hookweir"),
             listen,
-            admin.isEmpty() ? null : address("admin_addr", admin),
-            address("discovery", text(root, "discovery", env, "RELAY_DISCOVERY", "")),
-            seed(root), sockets(root), held(root, "held_bytes", LEAST_HELD_BYTES, OwnLimits.heapBytes() * HELD_SHARE_OF_HEAP),
-            (int) held(root, "held_jobs", LEAST_HELD_JOBS, OwnLimits.heapBytes() * HELD_SHARE_OF_HEAP / BYTES_A_JOB), known.isObject() ? known : null, settings,
-            inherited(env), handover, inherited(env) && handover ? meeting(env, listen) : null, root);
+            admin.isEmpty() ? null : requireAddress("admin_addr", admin),
+            requireAddress("discovery", readText(root, "discovery", env, "RELAY_DISCOVERY", "")),
+            readSeed(root), readMaxDescriptors(root), readLimit(root, "held_bytes", MIN_HELD_BYTES, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP),
+            (int) readLimit(root, "held_jobs", MIN_HELD_JOBS, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP / OVERHEAD_BYTES_PER_JOB), known.isObject() ? known : null, settings,
+            readInherited(env), handover, readInherited(env) && handover ? handoverSocketPath(env, listen) : null, root);
     }
 
     /** A platform that hands on a listening socket says so by its descriptor; the class library inherits 0 only. */
-    private static boolean inherited(Map<String, String> env) throws BadSetting {
+    private static boolean readInherited(Map<String, String> env) throws InvalidSettingException {
         String descriptor = env.getOrDefault("RELAY_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
-            throw new BadSetting("RELAY_FD", "must be 0, the one descriptor that can be inherited, not '" + descriptor + "'");
+            throw new InvalidSettingException("RELAY_FD", "must be 0, the one descriptor that can be inherited, not '" + descriptor + "'");
         }
         return !descriptor.isEmpty();
     }
 
     /** Off where the platform refuses Unix sockets, or nobody should come to one. */
-    private static boolean handover(JsonNode root, Map<String, String> env) throws BadSetting {
+    private static boolean readHandover(JsonNode root, Map<String, String> env) throws InvalidSettingException {
         String variable = env.getOrDefault("RELAY_HANDOVER", "");
         JsonNode key = root.path("upgrade").path("handover");
         String told = variable.isEmpty() ? key.isMissingNode() || key.isNull() ? "on" : key.asText() : variable;
         if (!told.equals("on") && !told.equals("off")) {
-            throw new BadSetting(variable.isEmpty() ? "upgrade.handover" : "RELAY_HANDOVER", "must be on or off, not '" + told + "'");
+            throw new InvalidSettingException(variable.isEmpty() ? "upgrade.handover" : "RELAY_HANDOVER", "must be on or off, not '" + told + "'");
         }
         return told.equals("on");
     }
 
     /** As short as it can be: the system takes some hundred bytes of it. */
-    private static Path meeting(Map<String, String> env, InetSocketAddress listen) {
+    private static Path handoverSocketPath(Map<String, String> env, InetSocketAddress listen) {
         String folder = env.getOrDefault("TMPDIR", "");
         Path name = Path.of(folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
             "hw-" + Integer.toHexString(listen.hashCode())).toAbsolutePath();
@@ -169,23 +169,23 @@
     }
 
     /** What the system lets the process hold counts, however much more it was promised. */
-    private static int sockets(JsonNode root) throws BadSetting {
-        long told = held(root, "sockets", LEAST_SOCKETS, DEFAULT_SOCKETS);
-        return (int) Math.max(LEAST_SOCKETS, Math.min(told, OwnLimits.descriptors()));
+    private static int readMaxDescriptors(JsonNode root) throws InvalidSettingException {
+        long told = readLimit(root, "sockets", MIN_MAX_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS);
+        return (int) Math.max(MIN_MAX_DESCRIPTORS, Math.min(told, ProcessLimits.maxOpenFiles()));
     }
 
-    private static long held(JsonNode root, String key, int least, double otherwise) throws BadSetting {
+    private static long readLimit(JsonNode root, String key, int least, double otherwise) throws InvalidSettingException {
         JsonNode n = root.path("limits").path(key);
         if (n.isMissingNode() || n.isNull()) {
             return (long) Math.max(least, otherwise);
         }
         if (!n.isNumber() || n.asLong() < least || n.asLong() > Integer.MAX_VALUE) {
-            throw new BadSetting("limits." + key, "must be a number of at least " + least);
+            throw new InvalidSettingException("limits." + key, "must be a number of at least " + least);
         }
         return n.asLong();
     }
 
-    private static long seed(JsonNode root) throws BadSetting {
+    private static long readSeed(JsonNode root) throws InvalidSettingException {
         JsonNode n = root.path("seed");
         if (n.isMissingNode() || n.isNull()) {
             return System.nanoTime();
@@ -193,21 +193,21 @@
         try {
             return n.isNumber() ? n.asLong() : Long.parseUnsignedLong(n.asText(), 16);
         } catch (NumberFormatException e) {
-            throw new BadSetting("seed", "must be a number or up to 16 hex digits");
+            throw new InvalidSettingException("seed", "must be a number or up to 16 hex digits");
         }
     }
 
-    private static String text(JsonNode root, String key, Map<String, String> env, String variable,
+    private static String readText(JsonNode root, String key, Map<String, String> env, String variable,
             String otherwise) {
         String told = env.get(variable);
         return told != null && !told.isEmpty() ? told : root.path(key).asText(otherwise);
     }
 
     /** A host:port pair; the host is an address, as there is no DNS. */
-    static InetSocketAddress address(String key, String text) throws BadSetting {
+    static InetSocketAddress requireAddress(String key, String text) throws InvalidSettingException {
         InetSocketAddress at = parseAddress(text);
         if (at == null) {
-            throw new BadSetting(key, "must be ADDRESS:PORT, not '" + text + "'");
+            throw new InvalidSettingException(key, "must be ADDRESS:PORT, not '" + text + "'");
         }
         return at;
     }
@@ -242,16 +242,16 @@
         } else if (node.isArray()) {
             StringBuilder joined = new StringBuilder();
             for (JsonNode item : node) {
-                joined.append(joined.length() == 0 ? "" : ",").append(wireWord(item.asText()));
+                joined.append(joined.length() == 0 ? "" : ",").append(toWireToken(item.asText()));
             }
             into.put(path, joined.toString());
         } else if (!node.isNull()) {
-            into.put(path, wireWord(node.asText()));
+            into.put(path, toWireToken(node.asText()));
         }
     }
 
     /** A value as the wire would carry it: spaces and commas become underscores. */
-    public static String wireWord(String value) {
+    public static String toWireToken(String value) {
         return value.replace(' ', '_').replace(',', '_');
     }
 }
--- a/node/src/main/java/hookweir/config/BadSetting.java
+++ b/node/src/main/java/hookweir/config/InvalidSettingException.java
@@ -1,13 +1,13 @@
 package hookweir.config;
 
 /** A setting that can't be used, with the key that holds it. */
-public final class BadSetting extends Exception {
+public final class InvalidSettingException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** The faulty key, as a path. */
     public final String key;
 
-    BadSetting(String key, String fault) {
+    InvalidSettingException(String key, String fault) {
         super("setting " + key + " " + fault);
         this.key = key;
     }
--- a/node/src/main/java/hookweir/config/OwnLimits.java
+++ b/node/src/main/java/hookweir/config/ProcessLimits.java
@@ -6,20 +6,20 @@
 import java.nio.file.Path;
 
 /** What the system lets this process have, as far as it says so. */
-final class OwnLimits {
+final class ProcessLimits {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String OPEN_FILES = "Max open files";
 
-    private OwnLimits() {
+    private ProcessLimits() {
     }
 
     /** The heap's most bytes. */
-    static long heapBytes() {
+    static long maxHeapBytes() {
         return Runtime.getRuntime().maxMemory();
     }
 
     /** Descriptors that it may open; the largest number where the system does not say. */
-    static long descriptors() {
+    static long maxOpenFiles() {
         try {
             for (String line : Files.readAllLines(LIMITS, StandardCharsets.US_ASCII)) {
                 if (line.startsWith(OPEN_FILES)) {
--- a/node/src/main/java/hookweir/config/SettingsMapping.java
+++ b/node/src/main/java/hookweir/config/SettingsMapping.java
@@ -17,10 +17,10 @@
  * wire, {@link ConfigReader} by flattening JSON. Unknown keys are ignored; missing ones keep the defaults.
  */
 public final class SettingsMapping {
-    private static final int MOST_ITEMS = 10_000;
+    private static final int MAX_ITEMS = 10_000;
 
     /** What the module is told. */
-    public final Settings settings = new Settings();
+    public final Settings policySettings = new Settings();
     /** Names of a load report's figures, in their order. */
     public String[] reportFields = new String[0];
     /** Class, zone and kind names; a name's place is its number. Classes that are gone keep theirs. */
@@ -29,12 +29,12 @@
     public final Map<String, Integer> classNumbers = new LinkedHashMap<>();
     /** The numbers of the tenants; none where requests have no owner. */
     public final Map<String, Integer> tenantNumbers = new LinkedHashMap<>();
-    public String[] zones = new String[0];
-    public String[] kinds = new String[0];
+    public String[] zoneNames = new String[0];
+    public String[] kindNames = new String[0];
     /** A connection not up by then counts as failed. */
-    public long dialTimeoutUs;
+    public long connectTimeoutUs;
     /** Idle connections are closed by the worker's machine after this. */
-    public long connIdleUs;
+    public long connectionIdleTimeoutUs;
 
     private final Map<String, String> values;
 
@@ -43,86 +43,86 @@
     }
 
     /** Maps the pairs; a value that can't be used is reported with its key. */
-    public static SettingsMapping of(Map<String, String> values) throws BadSetting {
+    public static SettingsMapping of(Map<String, String> values) throws InvalidSettingException {
         SettingsMapping p = new SettingsMapping(values);
-        p.read();
+        p.readAll();
         return p;
     }
 
-    private void read() throws BadSetting {
-        Settings s = settings;
-        int n = count("classes.count");
+    private void readAll() throws InvalidSettingException {
+        Settings s = policySettings;
+        int n = readCount("classes.count");
         for (int i = 0; i < n; i++) {
             s.classes.add(readClass("classes." + i + ".", i));
-            classNames.add(word("classes." + i + ".name", ""));
+            classNames.add(readText("classes." + i + ".name", ""));
             classNumbers.put(classNames.get(i), i);
         }
-        n = count("orgs.count");
+        n = readCount("orgs.count");
         s.tenantRatePerS = new double[n];
         for (int i = 0; i < n; i++) {
             readTenant("orgs." + i + ".", i);
         }
-        s.schedulerIndex = (int) whole("me", 0);
-        s.schedulerCount = (int) whole("instances", 1);
-        s.zone = (int) whole("zone", 0);
-        s.pollList = word("discovery", "push").equals("ask");
-        s.maxPollIntervalUs = whole("rules.ask_within_us", 0);
-        s.drainGraceUs = whole("rules.drain_grace_us", 0);
-        s.coldCapacityShare = share("rules.cold_share", s.coldCapacityShare);
-        s.warmUpUs = whole("rules.warm_within_us", 0);
-        s.collapseLoadFactor = number("rules.fall_multiple", s.collapseLoadFactor);
-        s.collapseAfterUs = whole("rules.fall_us", s.collapseAfterUs);
-        s.responseSlackUs = whole("rules.answer_slack_us", 0);
-        s.tickUs = whole("tick_us", s.tickUs);
-        s.maxAttempts = (int) whole("limits.max_attempts", 1);
-        s.concurrentAttemptsAllowed = flag("limits.second_copies");
-        s.cancelAllowed = flag("limits.cancel");
-        s.probesAllowed = flag("limits.probes");
-        s.peerMessagesAllowed = flag("limits.peers");
-        s.retryAfterAllowed = flag("limits.retry_after");
-        s.maxRetryAfterUs = whole("limits.max_retry_after_us", 0);
-        s.loadReportSource = switch (word("stats.via", "silent")) {
+        s.schedulerIndex = (int) readLong("me", 0);
+        s.schedulerCount = (int) readLong("instances", 1);
+        s.zone = (int) readLong("zone", 0);
+        s.pollList = readText("discovery", "push").equals("ask");
+        s.maxPollIntervalUs = readLong("rules.ask_within_us", 0);
+        s.drainGraceUs = readLong("rules.drain_grace_us", 0);
+        s.coldCapacityShare = readShare("rules.cold_share", s.coldCapacityShare);
+        s.warmUpUs = readLong("rules.warm_within_us", 0);
+        s.collapseLoadFactor = readDouble("rules.fall_multiple", s.collapseLoadFactor);
+        s.collapseAfterUs = readLong("rules.fall_us", s.collapseAfterUs);
+        s.responseSlackUs = readLong("rules.answer_slack_us", 0);
+        s.tickUs = readLong("tick_us", s.tickUs);
+        s.maxAttempts = (int) readLong("limits.max_attempts", 1);
+        s.concurrentAttemptsAllowed = readFlag("limits.second_copies");
+        s.cancelAllowed = readFlag("limits.cancel");
+        s.probesAllowed = readFlag("limits.probes");
+        s.peerMessagesAllowed = readFlag("limits.peers");
+        s.retryAfterAllowed = readFlag("limits.retry_after");
+        s.maxRetryAfterUs = readLong("limits.max_retry_after_us", 0);
+        s.loadReportSource = switch (readText("stats.via", "silent")) {
             case "piggyback" -> LoadReportSource.RESPONSES_AND_PROBES;
             case "pull" -> LoadReportSource.PROBES;
             default -> LoadReportSource.NONE;
         };
-        s.sizeMetric = switch (word("weights", "silent")) {
+        s.sizeMetric = switch (readText("weights", "silent")) {
             case "live" -> SizeMetric.LIVE;
             case "nominal", "rough" -> SizeMetric.NOMINAL;
             default -> SizeMetric.NONE;
         };
-        s.originFetchPrice = number("prices.origin", 0);
-        s.crossZonePrice = number("prices.cross_zone", 0);
-        s.probePrice = number("prices.probe", 0);
-        s.peerMessagePrice = number("prices.peer", 0);
-        s.wastedWorkPrice = number("prices.waste", 0);
-        s.lateFailurePrice = number("prices.late_fail", 0);
-        s.overShareValue = share("over_share_worth", 1);
-        s.jobStartReported = flag("family_info.tells_start");
-        s.progressIntervalUs = whole("family_info.progress_us", 0);
-        s.headOfLineBlocking = word("family_info.queue_order", "fifo").equals("fifo");
-        reportFields = names("stats.fields");
-        zones = names("zones");
-        kinds = names("kinds");
-        dialTimeoutUs = whole("limits.dial_timeout_us", 250_000);
-        s.connectTimeoutUs = 2 * dialTimeoutUs; // the wait for a descriptor, and the dial
-        connIdleUs = whole("limits.conn_idle_us", 15_000_000);
+        s.originFetchPrice = readDouble("prices.origin", 0);
+        s.crossZonePrice = readDouble("prices.cross_zone", 0);
+        s.probePrice = readDouble("prices.probe", 0);
+        s.peerMessagePrice = readDouble("prices.peer", 0);
+        s.wastedWorkPrice = readDouble("prices.waste", 0);
+        s.lateFailurePrice = readDouble("prices.late_fail", 0);
+        s.overShareValue = readShare("over_share_worth", 1);
+        s.jobStartReported = readFlag("family_info.tells_start");
+        s.progressIntervalUs = readLong("family_info.progress_us", 0);
+        s.headOfLineBlocking = readText("family_info.queue_order", "fifo").equals("fifo");
+        reportFields = readNames("stats.fields");
+        zoneNames = readNames("zones");
+        kindNames = readNames("kinds");
+        connectTimeoutUs = readLong("limits.dial_timeout_us", 250_000);
+        s.connectTimeoutUs = 2 * connectTimeoutUs; // the wait for a descriptor, and the dial
+        connectionIdleTimeoutUs = readLong("limits.conn_idle_us", 15_000_000);
     }
 
     /**
      * Numbers the classes for a scheduler that runs with other settings: jobs under way keep the number that they came
      * with, so a class that changed gets a new one, and one that is gone leaves its own unused.
      */
-    void continues(SettingsMapping running) throws BadSetting {
-        if (!Arrays.equals(zones, running.zones) || !Arrays.equals(kinds, running.kinds)) {
-            throw new BadSetting(Arrays.equals(zones, running.zones) ? "kinds" : "zones", "can't change while serving: the list is numbered by it");
+    void keepClassNumbersOf(SettingsMapping running) throws InvalidSettingException {
+        if (!Arrays.equals(zoneNames, running.zoneNames) || !Arrays.equals(kindNames, running.kindNames)) {
+            throw new InvalidSettingException(Arrays.equals(zoneNames, running.zoneNames) ? "kinds" : "zones", "can't change while serving: the list is numbered by it");
         }
-        List<RequestClass> classes = new ArrayList<>(running.settings.classes);
+        List<RequestClass> classes = new ArrayList<>(running.policySettings.classes);
         List<String> names = new ArrayList<>(running.classNames);
         for (Map.Entry<String, Integer> e : classNumbers.entrySet()) {
-            RequestClass c = settings.classes.get(e.getValue());
+            RequestClass c = policySettings.classes.get(e.getValue());
             int number = classes.size() - 1;
-            while (number >= 0 && !(names.get(number).equals(e.getKey()) && alike(classes.get(number), c))) {
+            while (number >= 0 && !(names.get(number).equals(e.getKey()) && sameDefinition(classes.get(number), c))) {
                 number--;
             }
             if (number < 0) {
@@ -132,80 +132,80 @@
             }
             e.setValue(number);
         }
-        settings.classes.clear();
-        settings.classes.addAll(classes);
+        policySettings.classes.clear();
+        policySettings.classes.addAll(classes);
         classNames.clear();
         classNames.addAll(names);
     }
 
-    private static boolean alike(RequestClass a, RequestClass b) {
+    private static boolean sameDefinition(RequestClass a, RequestClass b) {
         return a.softDeadlineUs == b.softDeadlineUs && a.softDeadlineStretch == b.softDeadlineStretch && a.deadlineUs == b.deadlineUs && a.value == b.value
             && a.lateValueShare == b.lateValueShare && a.idempotency == b.idempotency && a.dedupScope == b.dedupScope && a.dedupWindowUs == b.dedupWindowUs
             && a.requiredKind == b.requiredKind && a.priority == b.priority;
     }
 
-    private void readTenant(String path, int index) throws BadSetting {
-        String name = word(path + "name", "");
+    private void readTenant(String path, int index) throws InvalidSettingException {
+        String name = readText(path + "name", "");
         if (!name.isEmpty() && tenantNumbers.putIfAbsent(name, index) != null) {
-            throw new BadSetting(path + "name", "names '" + name + "', which an earlier one does");
+            throw new InvalidSettingException(path + "name", "names '" + name + "', which an earlier one does");
         }
-        settings.tenantRatePerS[index] = number(path + "allowance_per_s", 0);
-        if (settings.tenantRatePerS[index] < 0) {
-            throw bad(path + "allowance_per_s", values.get(path + "allowance_per_s"));
+        policySettings.tenantRatePerS[index] = readDouble(path + "allowance_per_s", 0);
+        if (policySettings.tenantRatePerS[index] < 0) {
+            throw unusable(path + "allowance_per_s", values.get(path + "allowance_per_s"));
         }
-        share(path + "portion", 0);
+        readShare(path + "portion", 0);
     }
 
     /** A share of something, from 0 to 1. */
-    private double share(String key, double otherwise) throws BadSetting {
-        double v = number(key, otherwise);
+    private double readShare(String key, double otherwise) throws InvalidSettingException {
+        double v = readDouble(key, otherwise);
         if (v < 0 || v > 1) {
-            throw new BadSetting(key, "must be a share from 0 to 1, not '" + values.get(key) + "'");
+            throw new InvalidSettingException(key, "must be a share from 0 to 1, not '" + values.get(key) + "'");
         }
         return v;
     }
 
-    private RequestClass readClass(String path, int index) throws BadSetting {
+    private RequestClass readClass(String path, int index) throws InvalidSettingException {
         RequestClass c = new RequestClass();
-        c.softDeadlineUs = whole(path + "aim_us", c.softDeadlineUs);
-        c.softDeadlineStretch = number(path + "aim_stretch", item("family_info.class_stretch", index, 0));
-        c.deadlineUs = whole(path + "deadline_us", c.deadlineUs);
-        c.value = number(path + "importance", 1);
-        c.lateValueShare = number(path + "late_value", 0);
-        c.dedupWindowUs = whole(path + "window_us", 0);
-        c.requiredKind = (int) item("family_info.class_kind", index, -1);
-        c.priority = (int) item("family_info.class_priority", index, 0);
-        String effect = word(path + "semantics", "non_idempotent");
+        c.softDeadlineUs = readLong(path + "aim_us", c.softDeadlineUs);
+        c.softDeadlineStretch = readDouble(path + "aim_stretch", readListItem("family_info.class_stretch", index, 0));
+        c.deadlineUs = readLong(path + "deadline_us", c.deadlineUs);
+        c.value = readDouble(path + "importance", 1);
+        c.lateValueShare = readDouble(path + "late_value", 0);
+        c.dedupWindowUs = readLong(path + "window_us", 0);
+        c.requiredKind = (int) readListItem("family_info.class_kind", index, -1);
+        c.priority = (int) readListItem("family_info.class_priority", index, 0);
+        String effect = readText(path + "semantics", "non_idempotent");
         c.idempotency = switch (effect) {
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.KEYED;
             case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw bad(path + "semantics", effect);
+            default -> throw unusable(path + "semantics", effect);
         };
-        String scope = word(path + "key_scope", "cell");
+        String scope = readText(path + "key_scope", "cell");
         c.dedupScope = switch (scope) {
             case "all" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
             case "cell" -> DedupScope.CELL;
-            default -> throw bad(path + "key_scope", scope);
+            default -> throw unusable(path + "key_scope", scope);
         };
         return c;
     }
 
-    private static BadSetting bad(String key, String value) {
-        return new BadSetting(key, "has the unusable value '" + value + "'");
+    private static InvalidSettingException unusable(String key, String value) {
+        return new InvalidSettingException(key, "has the unusable value '" + value + "'");
     }
 
-    private String[] names(String key) {
-        String list = word(key, "");
+    private String[] readNames(String key) {
+        String list = readText(key, "");
         return list.isEmpty() ? new String[0] : list.split(",");
     }
 
-    private String word(String key, String otherwise) {
+    private String readText(String key, String otherwise) {
         return values.getOrDefault(key, otherwise);
     }
 
-    private boolean flag(String key) throws BadSetting {
+    private boolean readFlag(String key) throws InvalidSettingException {
         String v = values.get(key);
         if (v == null || v.equals("false")) {
             return false;
@@ -213,18 +213,18 @@
         if (v.equals("true")) {
             return true;
         }
-        throw bad(key, v);
+        throw unusable(key, v);
     }
 
-    private int count(String key) throws BadSetting {
-        long n = whole(key, 0);
-        if (n < 0 || n > MOST_ITEMS) {
-            throw bad(key, values.get(key));
+    private int readCount(String key) throws InvalidSettingException {
+        long n = readLong(key, 0);
+        if (n < 0 || n > MAX_ITEMS) {
+            throw unusable(key, values.get(key));
         }
         return (int) n;
     }
 
-    private long whole(String key, long otherwise) throws BadSetting {
+    private long readLong(String key, long otherwise) throws InvalidSettingException {
         String v = values.get(key);
         if (v == null || v.isEmpty()) {
             return otherwise;
@@ -232,25 +232,25 @@
         try {
             return Long.parseLong(v);
         } catch (NumberFormatException e) {
-            return (long) parse(key, v);
+            return (long) parseDouble(key, v);
         }
     }
 
-    private double number(String key, double otherwise) throws BadSetting {
+    private double readDouble(String key, double otherwise) throws InvalidSettingException {
         String v = values.get(key);
-        return v == null || v.isEmpty() ? otherwise : parse(key, v);
+        return v == null || v.isEmpty() ? otherwise : parseDouble(key, v);
     }
 
-    private double item(String key, int index, double otherwise) throws BadSetting {
+    private double readListItem(String key, int index, double otherwise) throws InvalidSettingException {
         String v = values.get(key);
         if (v == null || v.isEmpty()) {
             return otherwise;
         }
         String[] parts = v.split(",");
-        return index < parts.length ? parse(key, parts[index]) : otherwise;
+        return index < parts.length ? parseDouble(key, parts[index]) : otherwise;
     }
 
-    private double parse(String key, String v) throws BadSetting {
+    private double parseDouble(String key, String v) throws InvalidSettingException {
         try {
             double d = Double.parseDouble(v);
             if (Double.isFinite(d)) {
@@ -259,6 +259,6 @@
         } catch (NumberFormatException e) {
             // falls through to the plain message
         }
-        throw bad(key, v);
+        throw unusable(key, v);
     }
 }
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -5,7 +5,7 @@
 import hookweir.net.admin.Figures;
 import hookweir.net.server.RequestParser;
 import hookweir.net.worker.LoadReport;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.List;
 
 /** The settings in force, and what is made of them; replaced as a whole by a reload. Belongs to the {@link Loop}. */
@@ -13,7 +13,7 @@
     private static final int PROBE_DIAL_LIMITS = 2;
     private static final int TAKE_DIAL_LIMITS = 6;
 
-    private final Room room;
+    private final ResourceBudget room;
     private final Figures figures;
     private Contract.Settings settings;
     /** By number. */
@@ -22,7 +22,7 @@
     private RequestParser requestParser;
     private LoadReport loadReport;
 
-    ActiveSettings(Room room, Figures figures, SettingsMapping mapped) {
+    ActiveSettings(ResourceBudget room, Figures figures, SettingsMapping mapped) {
         this.room = room;
         this.figures = figures;
         adopt(mapped);
@@ -30,11 +30,11 @@
 
     /** Replaces the settings. */
     void adopt(SettingsMapping mapped) {
-        settings = mapped.settings;
+        settings = mapped.policySettings;
         classNames = mapped.classNames;
         figures.classes(List.copyOf(mapped.classNumbers.keySet()));
-        probeLimitUs = PROBE_DIAL_LIMITS * mapped.dialTimeoutUs;
-        room.classes(settings.classes);
+        probeLimitUs = PROBE_DIAL_LIMITS * mapped.connectTimeoutUs;
+        room.setClasses(settings.classes);
         requestParser = new RequestParser(mapped.classNumbers, settings.classes, mapped.tenantNumbers);
         loadReport = new LoadReport(mapped.reportFields);
     }
--- a/node/src/main/java/hookweir/net/HeldRequests.java
+++ b/node/src/main/java/hookweir/net/HeldRequests.java
@@ -2,7 +2,7 @@
 
 import hookweir.net.admin.Figures;
 import hookweir.net.server.Ingress;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
@@ -19,14 +19,14 @@
     private final Invariants invariants;
     private final Figures figures;
     private final ActiveSettings active;
-    private final Room room;
+    private final ResourceBudget room;
     private final Ingress ingress;
     private final Map<Integer, PendingRequest> byNumber = new HashMap<>();
     private final Map<String, PendingRequest> byClientId = new HashMap<>();
     /** Clients' ids of the last requests, held or not. */
     private final Set<String> recentIds = Recent.last(MAX_RECENT_IDS);
 
-    HeldRequests(Invariants invariants, Figures figures, ActiveSettings active, Room room, Ingress ingress) {
+    HeldRequests(Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress) {
         this.invariants = invariants;
         this.figures = figures;
         this.active = active;
@@ -84,7 +84,7 @@
             if (request.guard != null) {
                 request.guard.cancel();
             }
-            room.jobGone();
+            room.releaseJob();
             ingress.release(request.from);
         }
     }
--- a/node/src/main/java/hookweir/net/JobIntake.java
+++ b/node/src/main/java/hookweir/net/JobIntake.java
@@ -6,7 +6,7 @@
 import hookweir.net.server.IngressConnection;
 import hookweir.net.server.IngressRequest;
 import hookweir.net.server.RequestParser;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.nio.charset.StandardCharsets;
 
 /** Takes jobs: checks a request, holds it and hands it to the decision module. Belongs to the {@link Loop}. */
@@ -17,13 +17,13 @@
     private final Invariants invariants;
     private final Figures figures;
     private final ActiveSettings active;
-    private final Room room;
+    private final ResourceBudget room;
     private final Ingress ingress;
     private final HeldRequests held;
     private final Contract.Dispatcher module;
     private int lastNumber;
 
-    JobIntake(Loop loop, Invariants invariants, Figures figures, ActiveSettings active, Room room, Ingress ingress, HeldRequests held,
+    JobIntake(Loop loop, Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress, HeldRequests held,
             Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
@@ -52,7 +52,7 @@
             ingress.answer(from, HttpStatus.CONFLICT, null, NO_BODY);
             return false;
         }
-        if (room.job(parsed.requestClass) == Room.Verdict.REFUSE) {
+        if (room.admitJob(parsed.requestClass) == ResourceBudget.Admission.REJECT) {
             invariants.count("requests refused for room");
             figures.turnedAway(active.className(parsed.requestClass));
             ingress.answer(from, HttpStatus.TOO_MANY_REQUESTS, retryAfter(), NO_BODY);
--- a/node/src/main/java/hookweir/net/Loop.java
+++ b/node/src/main/java/hookweir/net/Loop.java
@@ -77,7 +77,7 @@
 
     /** Runs the task after the delay. Owner thread only. */
     public TimerWheel.Timer after(long delayUs, Runnable task) {
-        return timers.set(nowUs() + Math.max(0, delayUs), task);
+        return timers.schedule(nowUs() + Math.max(0, delayUs), task);
     }
 
     /** Runs the task once a whole round of I/O has read what is there by now. From a task or timer of the owner thread only. */
@@ -153,7 +153,7 @@
                 task = timersFirst ? posted() : timers.poll(nowUs());
             }
             if (task == null) {
-                return afterRound.isEmpty() ? timers.waitUs(nowUs()) : 0;
+                return afterRound.isEmpty() ? timers.idleTimeUs(nowUs()) : 0;
             }
             now(task);
         }
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.config.Config;
 import hookweir.config.SettingsMapping;
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import hookweir.membership.ListLease;
 import hookweir.net.discovery.Discovery;
 import hookweir.net.discovery.ListUpdate;
@@ -58,21 +58,21 @@
         this.egress = egress;
         this.module = module;
         this.onReady = onReady;
-        lease = new ListLease(!config.settings().settings.pollList);
+        lease = new ListLease(!config.settings().policySettings.pollList);
         adopt(config.settings());
-        parser = new ListUpdate.Parser(config.settings().zones, config.settings().kinds, invariants, loop::nowUs);
-        discovery = new Discovery(loop, dialer, config.discovery(), parser, invariants, events, () -> pushed, this);
+        parser = new ListUpdate.Parser(config.settings().zoneNames, config.settings().kindNames, invariants, loop::nowUs);
+        discovery = new Discovery(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> pushed, this);
     }
 
     /** Takes over what the settings say of the list. */
     void adopt(SettingsMapping mapped) {
-        pushed = !mapped.settings.pollList;
-        lease.pushed(pushed);
+        pushed = !mapped.policySettings.pollList;
+        lease.setListsPushed(pushed);
     }
 
     /** Begins with the list as last held, by which nothing is sent yet, and asks for the present one. */
     void start(Config config) {
-        ListUpdate known = config.known() == null ? null : parser.parse(config.known());
+        ListUpdate known = config.cachedWorkerList() == null ? null : parser.parse(config.cachedWorkerList());
         boolean usable = known != null && !known.entries().isEmpty();
         held.add(new ListUpdate(0, true, usable ? known.entries() : List.of()));
         // Where nothing is held, changes to it would be no list.
@@ -83,7 +83,7 @@
             discovery.watch(true);
         }
         loop.after(pushed ? AGENT_LIMIT_US : ASKED_LIMIT_US, () -> {
-            lease.timeLimitReached(loop.nowUs());
+            lease.startTimeoutReached(loop.nowUs());
             tellLease();
             endStart();
         });
@@ -95,24 +95,24 @@
             return;
         }
         discovery.move(to);
-        lease.moved(loop.nowUs());
+        lease.serviceMoved(loop.nowUs());
         tellLease();
     }
 
     /** An attempt may begin: what is known of the workers is not out of date. */
     boolean mayBegin() {
-        return lease.permits(loop.nowUs());
+        return lease.isValidAt(loop.nowUs());
     }
 
     /** How long attempts may still begin if the list service says nothing any more, in µs; 0 if they may not. */
     long leaseLeftUs() {
-        return Math.max(0, lease.untilUs() - loop.nowUs());
+        return Math.max(0, lease.expiresAtUs() - loop.nowUs());
     }
 
     /** Tells the module until when attempts may begin, and notes when they may not any more. */
     private void tellLease() {
         long now = loop.nowUs();
-        boolean permits = lease.permits(now);
+        boolean permits = lease.isValidAt(now);
         if (permits != permitted) {
             permitted = permits;
             invariants.count(permits ? "list lease renewed" : "list lease over");
@@ -122,9 +122,9 @@
             expiry.cancel();
         }
         if (permits) {
-            expiry = loop.after(lease.untilUs() - now, this::tellLease);
+            expiry = loop.after(lease.expiresAtUs() - now, this::tellLease);
         }
-        module.listLeaseChanged(now, lease.untilUs());
+        module.listLeaseChanged(now, lease.expiresAtUs());
     }
 
     /** Starts or ends the watch. */
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void listFailed(CallFailure failure, long startedUs) {
+    public void listFailed(ListCallFailure failure, long startedUs) {
         invariants.count("list calls failed " + failure);
         lease.callFailed(failure, startedUs);
         tellLease();
--- a/node/src/main/java/hookweir/net/Node.java
+++ b/node/src/main/java/hookweir/net/Node.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
-import hookweir.config.BadSetting;
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
+import hookweir.config.InvalidSettingException;
 import hookweir.net.admin.AdminListener;
 import hookweir.net.admin.Figures;
 import hookweir.net.admin.Standing;
@@ -46,10 +46,10 @@
      */
     public synchronized void reload(Map<String, String> env) {
         try {
-            Config again = ConfigReader.again(env, config);
+            Config again = ConfigReader.reload(env, config);
             config = again;
             loop.post(() -> host.reload(again));
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             invariants.count("reloads refused");
             figures.reloaded(false);
             Log.line("the configuration stays as it was: " + e.getMessage());
@@ -71,7 +71,7 @@
             Log.line("hookweir: " + e.getMessage());
             return 1;
         }
-        var settings = config.settings().settings;
+        var settings = config.settings().policySettings;
         Log.line(config.name() + " serves on port " + port + ", scheduler " + settings.schedulerIndex + " of " + settings.schedulerCount
             + " in zone " + settings.zone);
         HangUp.heed(() -> reload(System.getenv()));
@@ -95,13 +95,13 @@
     /** Binds and seeds; the port that it got. {@link #run} is to follow. */
     public int start() throws IOException {
         transport.start();
-        if (config.admin() != null) {
-            adminPort = bound("admin_addr", config.admin(), () -> new AdminListener(loop, transport, invariants, standing, figures,
-                () -> loop.post(host::turned)).listen(config.admin()));
+        if (config.adminAddress() != null) {
+            adminPort = bound("admin_addr", config.adminAddress(), () -> new AdminListener(loop, transport, invariants, standing, figures,
+                () -> loop.post(host::turned)).listen(config.adminAddress()));
         }
         // Seeded before any request can be read, as this is posted first.
         loop.post(() -> host.start(config));
-        int port = bound(config.inherited() ? "RELAY_FD" : "listen", config.listen(), () -> host.listen(config));
+        int port = bound(config.inheritsListenSocket() ? "RELAY_FD" : "listen", config.listenAddress(), () -> host.listen(config));
         return port;
     }
 
--- a/node/src/main/java/hookweir/net/ProcessShare.java
+++ b/node/src/main/java/hookweir/net/ProcessShare.java
@@ -4,7 +4,7 @@
 import hookweir.net.server.Ingress;
 import hookweir.net.upgrade.Succession;
 import hookweir.net.worker.Egress;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 
 /**
  * This process's share of descriptors and memory: all processes of a scheduler share one machine. Belongs to the
@@ -19,7 +19,7 @@
     private static final int OWN_DESCRIPTORS_OF_SEVERAL = 48;
     private static final int MIN_DESCRIPTORS = 16;
 
-    private final Room room;
+    private final ResourceBudget room;
     private final Egress egress;
     private final Ingress ingress;
     private final Succession succession;
@@ -27,19 +27,19 @@
     private long heldBytes;
     private int heldJobs;
 
-    ProcessShare(Config config, Room room, Egress egress, Ingress ingress, Succession succession) {
+    ProcessShare(Config config, ResourceBudget room, Egress egress, Ingress ingress, Succession succession) {
         this.room = room;
         this.egress = egress;
         this.ingress = ingress;
         this.succession = succession;
-        descriptors = config.sockets();
+        descriptors = config.maxDescriptors();
         limits(config);
     }
 
     /** Takes over the limits of a configuration; an update is to follow. */
     void limits(Config config) {
-        heldBytes = config.heldBytes();
-        heldJobs = config.heldJobs();
+        heldBytes = config.maxHeldBytes();
+        heldJobs = config.maxHeldJobs();
     }
 
     private int ownDescriptors(int processes) {
@@ -49,8 +49,8 @@
     /** Divides the limits by the number of processes, and keeps within them. */
     void update() {
         int processes = 1 + succession.neighbours();
-        room.limit(heldBytes / processes, heldJobs / processes);
-        room.descriptors(Math.max(MIN_DESCRIPTORS, descriptors / processes - ownDescriptors(processes)));
+        room.setLimits(heldBytes / processes, heldJobs / processes);
+        room.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, descriptors / processes - ownDescriptors(processes)));
         egress.fit();
         ingress.fit();
     }
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -15,7 +15,7 @@
 import hookweir.net.upgrade.Succession;
 import hookweir.net.upgrade.Wire;
 import hookweir.net.worker.Egress;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.io.IOException;
 import java.util.function.Consumer;
 
@@ -56,14 +56,14 @@
         this.standing = standing;
         this.figures = figures;
         events = new EventLog(loop::nowUs, invariants);
-        Room room = new Room(config.heldBytes(), config.heldJobs());
+        ResourceBudget room = new ResourceBudget(config.maxHeldBytes(), config.maxHeldJobs());
         active = new ActiveSettings(room, figures, config.settings());
         Dialer dialer = new Dialer(loop, transport);
         ingress = new Ingress(loop, transport, invariants, events, room, this::links, new Requests());
-        egress = new Egress(loop, dialer, invariants, config.settings().dialTimeoutUs, config.settings().connIdleUs, room, ingress::size);
+        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, room, ingress::size);
         module = new Policy(active.settings(), config.seed(), this);
         membership = new Membership(config, loop, dialer, invariants, events, egress, module, this::ready);
-        succession = new Succession(loop, invariants, config.meeting(), new Neighbours());
+        succession = new Succession(loop, invariants, config.handoverSocketPath(), new Neighbours());
         share = new ProcessShare(config, room, egress, ingress, succession);
         held = new HeldRequests(invariants, figures, active, room, ingress);
         attempts = new AttemptSender(this, loop, invariants, events, active, egress, held, module);
@@ -137,7 +137,7 @@
      * this one is {@link #ready}. Before the loop runs.
      */
     public int listen(Config config) throws IOException {
-        int port = ingress.listen(config.listen(), config.inherited());
+        int port = ingress.listen(config.listenAddress(), config.inheritsListenSocket());
         follows = succession.follow();
         if (follows) {
             ingress.accepts(false);
@@ -164,13 +164,13 @@
         active.adopt(next.settings());
         share.limits(next);
         share.update();
-        egress.limits(next.settings().dialTimeoutUs, next.settings().connIdleUs);
+        egress.limits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
         membership.adopt(next.settings());
         module.settingsChanged(loop.nowUs(), active.settings());
-        membership.move(next.discovery());
+        membership.move(next.listServiceAddress());
         invariants.count("reloads");
         figures.reloaded(true);
-        Log.line("reloaded: discovery " + next.discovery() + ", classes " + next.settings().classNumbers + ", at most "
+        Log.line("reloaded: discovery " + next.listServiceAddress() + ", classes " + next.settings().classNumbers + ", at most "
             + active.settings().maxAttempts + " attempts");
     }
 
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -4,7 +4,7 @@
 import hookweir.net.admin.Figures;
 import hookweir.net.server.Ingress;
 import hookweir.net.worker.Egress;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 
 /** Reports at intervals what the process holds: to the log, and to operators' figures. Belongs to the {@link Loop}. */
 final class StatusReporter {
@@ -15,14 +15,14 @@
     private final Loop loop;
     private final Invariants invariants;
     private final Figures figures;
-    private final Room room;
+    private final ResourceBudget room;
     private final Ingress ingress;
     private final Egress egress;
     private final HeldRequests held;
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Figures figures, Room room, Ingress ingress, Egress egress, HeldRequests held,
+    StatusReporter(Loop loop, Invariants invariants, Figures figures, ResourceBudget room, Ingress ingress, Egress egress, HeldRequests held,
             Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
@@ -42,7 +42,7 @@
     }
 
     private void logRegularly() {
-        Log.line("held=" + held.size() + " ingress=" + ingress.size() + " egress=" + egress.size() + " bytes=" + room.bytes()
+        Log.line("held=" + held.size() + " ingress=" + ingress.size() + " egress=" + egress.size() + " bytes=" + room.heldBytes()
             + " timers=" + loop.timers() + " " + invariants);
         loop.after(LOG_INTERVAL_US, this::logRegularly);
     }
@@ -54,7 +54,7 @@
 
     /** Publishes the figures. The module is asked here, so that no operator waits for the loop. */
     void publish() {
-        figures.held(room.bytes(), room.mostBytes(), room.jobs(), room.mostJobs());
+        figures.held(room.heldBytes(), room.maxBytes(), room.heldJobs(), room.maxJobs());
         figures.listLease(membership.leaseLeftUs() / US_PER_MS);
         figures.targets(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
     }
--- a/node/src/main/java/hookweir/net/discovery/Discovery.java
+++ b/node/src/main/java/hookweir/net/discovery/Discovery.java
@@ -1,6 +1,6 @@
 package hookweir.net.discovery;
 
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import hookweir.net.Dialer;
 import hookweir.net.EventLog;
 import hookweir.net.Invariants;
@@ -29,7 +29,7 @@
         void upToDate();
 
         /** A call that was begun then failed, or the watch ended. */
-        void listFailed(CallFailure failure, long startedUs);
+        void listFailed(ListCallFailure failure, long startedUs);
     }
 
     private static final long DIAL_US = 1_000_000;
@@ -224,8 +224,8 @@
             loop.afterRound(() -> {
                 if (!over && heard == pieces) {
                     invariants.count("discovery silent");
-                    CallFailure notBrought = connected ? CallFailure.UNANSWERED : CallFailure.REFUSED;
-                    fail(brought ? CallFailure.WATCH_SILENT : notBrought, pieces == 0 ? "no answer" : "silent");
+                    ListCallFailure notBrought = connected ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED;
+                    fail(brought ? ListCallFailure.WATCH_SILENT : notBrought, pieces == 0 ? "no answer" : "silent");
                 }
             });
         }
@@ -240,14 +240,14 @@
         /** The list service ended it, or no connection came up. */
         private void fail() {
             if (brought) {
-                fail(CallFailure.WATCH_ENDED, "ended");
+                fail(ListCallFailure.WATCH_ENDED, "ended");
                 return;
             }
             boolean atOnce = loop.nowUs() - startedUs < REFUSED_WITHIN_US;
-            fail(connected && !atOnce ? CallFailure.UNANSWERED : CallFailure.REFUSED, connected ? "ended" : "not connected");
+            fail(connected && !atOnce ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, connected ? "ended" : "not connected");
         }
 
-        private void fail(CallFailure failure, String how) {
+        private void fail(ListCallFailure failure, String how) {
             if (over) {
                 return;
             }
@@ -279,7 +279,7 @@
             silence = loop.after(query == null ? ANSWER_US : SILENCE_US, this::silent);
             if (piece.status() != 200) {
                 invariants.count("discovery status " + piece.status());
-                fail(piece.status() == BUSY ? CallFailure.UNANSWERED : CallFailure.REFUSED, "status " + piece.status());
+                fail(piece.status() == BUSY ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + piece.status());
             } else if (query != null) {
                 if (pieces == 1) {
                     logEnd("watch opened");
--- a/node/src/main/java/hookweir/net/discovery/Names.java
+++ b/node/src/main/java/hookweir/net/discovery/Names.java
@@ -15,6 +15,6 @@
     }
 
     int number(String name) {
-        return numbers.computeIfAbsent(ConfigReader.wireWord(name), k -> numbers.size());
+        return numbers.computeIfAbsent(ConfigReader.toWireToken(name), k -> numbers.size());
     }
 }
--- a/node/src/main/java/hookweir/net/server/BodyAdmission.java
+++ b/node/src/main/java/hookweir/net/server/BodyAdmission.java
@@ -3,7 +3,7 @@
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -17,7 +17,7 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Room room;
+    private final ResourceBudget room;
     private final RequestHandler handler;
     private final InputControl input;
     private final ConnectionCloser closer;
@@ -33,7 +33,7 @@
      *
      * @param readBuffered parses a connection's buffered input once its body was admitted
      */
-    BodyAdmission(Loop loop, Invariants invariants, Room room, RequestHandler handler, InputControl input, ConnectionCloser closer,
+    BodyAdmission(Loop loop, Invariants invariants, ResourceBudget room, RequestHandler handler, InputControl input, ConnectionCloser closer,
             ResponseWriter writer, ConnectionTable connections, Consumer<IngressConnection> readBuffered) {
         this.loop = loop;
         this.invariants = invariants;
@@ -54,8 +54,8 @@
             reject(c, c.framing.kind());
             return true;
         }
-        Room.Verdict verdict = c.callback ? room.result(bytes) : room.body(handler.classNumber(c.framing.kind()), bytes);
-        if (verdict == Room.Verdict.TAKE) {
+        ResourceBudget.Admission verdict = c.callback ? room.reserveResult(bytes) : room.reserveBody(handler.classNumber(c.framing.kind()), bytes);
+        if (verdict == ResourceBudget.Admission.ADMIT) {
             c.reservedBytes = bytes;
             c.framing.admit();
             if (c.framing.takeExpectation()) {
--- a/node/src/main/java/hookweir/net/server/BodyReservations.java
+++ b/node/src/main/java/hookweir/net/server/BodyReservations.java
@@ -1,14 +1,14 @@
 package hookweir.net.server;
 
 import hookweir.net.Invariants;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 
-/** Gives room that was reserved for bodies back to the process's {@link Room}. Belongs to the loop. */
+/** Gives room that was reserved for bodies back to the process's {@link ResourceBudget}. Belongs to the loop. */
 final class BodyReservations {
     private static final String CALLBACK_PATH = "/callback";
 
     private final Invariants invariants;
-    private final Room room;
+    private final ResourceBudget room;
     private final Runnable onReleased;
 
     /**
@@ -16,7 +16,7 @@
      *
      * @param onReleased runs after each release
      */
-    BodyReservations(Invariants invariants, Room room, Runnable onReleased) {
+    BodyReservations(Invariants invariants, ResourceBudget room, Runnable onReleased) {
         this.invariants = invariants;
         this.room = room;
         this.onReleased = onReleased;
@@ -47,9 +47,9 @@
 
     private void release(boolean callback, int bytes) {
         if (callback) {
-            room.resultGone(bytes);
+            room.releaseResult(bytes);
         } else {
-            room.bodyGone(bytes);
+            room.releaseBody(bytes);
         }
         onReleased.run();
     }
--- a/node/src/main/java/hookweir/net/server/ConnectionSweep.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionSweep.java
@@ -3,7 +3,7 @@
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 
 /**
  * Looks through all connections at intervals and ends those that are silent, too slow, or not to be kept any longer. Belongs
@@ -25,13 +25,13 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Room room;
+    private final ResourceBudget room;
     private final ConnectionTable connections;
     private final BodyAdmission admission;
     private final ConnectionCloser closer;
     private boolean sendingAway;
 
-    ConnectionSweep(Loop loop, Invariants invariants, Room room, ConnectionTable connections, BodyAdmission admission,
+    ConnectionSweep(Loop loop, Invariants invariants, ResourceBudget room, ConnectionTable connections, BodyAdmission admission,
             ConnectionCloser closer) {
         this.loop = loop;
         this.invariants = invariants;
@@ -54,7 +54,7 @@
     }
 
     private void check(IngressConnection c, long now) {
-        if (c.unwrittenSinceUs != 0 && now - c.unwrittenSinceUs > UNWRITTEN_LIMIT_US && room.choked()) {
+        if (c.unwrittenSinceUs != 0 && now - c.unwrittenSinceUs > UNWRITTEN_LIMIT_US && room.isOutputBacklogged()) {
             invariants.count("ingress answer not read");
             closer.closing(c, CloseReason.ANSWER_NOT_READ);
             c.connection.terminateSilently();
--- a/node/src/main/java/hookweir/net/server/ConnectionTable.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionTable.java
@@ -3,7 +3,7 @@
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
 import hookweir.net.server.IngressConnection.Phase;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -23,7 +23,7 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Room room;
+    private final ResourceBudget room;
     private final IntSupplier workerLinks;
     private final Door door;
     private final ConnectionCloser closer;
@@ -34,7 +34,7 @@
     private int clients;
     private long noneIdleUntilUs;
 
-    ConnectionTable(Loop loop, Invariants invariants, Room room, IntSupplier workerLinks, Door door, ConnectionCloser closer) {
+    ConnectionTable(Loop loop, Invariants invariants, ResourceBudget room, IntSupplier workerLinks, Door door, ConnectionCloser closer) {
         this.loop = loop;
         this.invariants = invariants;
         this.room = room;
@@ -77,7 +77,7 @@
 
     /** Whether clients have as many connections as they may. */
     boolean clientLimitReached() {
-        return clients >= room.mostClients();
+        return clients >= room.maxClientConnections();
     }
 
     /** Whether new connections wait in the kernel for a descriptor. */
@@ -104,7 +104,7 @@
 
     /** Keeps within the limit on descriptors: evicts connections as far as that harms nobody, and else stops accepting. */
     void fit() {
-        int limit = room.mostAccepted(workerLinks.getAsInt());
+        int limit = room.maxAcceptedConnections(workerLinks.getAsInt());
         for (var victim = findVictim(); connections.size() > limit && victim.isPresent(); victim = findVictim()) {
             evict(victim.get());
         }
@@ -117,7 +117,7 @@
      * New clients then wait in the kernel: those with a job under way get their answers first.
      */
     private Optional<IngressConnection> findVictim() {
-        return connections.size() <= room.mostAccepted(workerLinks.getAsInt()) ? Optional.empty() : cheapest();
+        return connections.size() <= room.maxAcceptedConnections(workerLinks.getAsInt()) ? Optional.empty() : cheapest();
     }
 
     private Optional<IngressConnection> cheapest() {
--- a/node/src/main/java/hookweir/net/server/Ingress.java
+++ b/node/src/main/java/hookweir/net/server/Ingress.java
@@ -5,7 +5,7 @@
 import hookweir.net.Loop;
 import hookweir.net.Transport;
 import hookweir.net.server.IngressConnection.Phase;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.IntSupplier;
@@ -37,7 +37,7 @@
      *
      * @param workerLinks how many links to workers there are: they share the descriptors
      */
-    public Ingress(Loop loop, Transport transport, Invariants invariants, EventLog events, Room room, IntSupplier workerLinks, RequestHandler handler) {
+    public Ingress(Loop loop, Transport transport, Invariants invariants, EventLog events, ResourceBudget room, IntSupplier workerLinks, RequestHandler handler) {
         this.loop = loop;
         reservations = new BodyReservations(invariants, room, this::roomReleased);
         input = new InputControl(loop, invariants, reservations);
--- a/node/src/main/java/hookweir/net/server/RequestParser.java
+++ b/node/src/main/java/hookweir/net/server/RequestParser.java
@@ -62,13 +62,13 @@
 
     /** The number of a class as clients name it, or -1. */
     public int numberOf(String kind) {
-        Integer number = kind == null ? null : classes.get(ConfigReader.wireWord(kind));
+        Integer number = kind == null ? null : classes.get(ConfigReader.toWireToken(kind));
         return number == null ? -1 : number;
     }
 
     /** Where requests have owners, one without a known owner has no share in the fleet: nobody's, but a job all the same. */
     private int tenantOf(String owner) {
-        return tenants.isEmpty() ? 0 : owner == null ? NOBODY : tenants.getOrDefault(ConfigReader.wireWord(owner), NOBODY);
+        return tenants.isEmpty() ? 0 : owner == null ? NOBODY : tenants.getOrDefault(ConfigReader.toWireToken(owner), NOBODY);
     }
 
     private static void extras(Contract.Request r, String text) throws BadRequest {
--- a/node/src/main/java/hookweir/net/server/ResponseWriter.java
+++ b/node/src/main/java/hookweir/net/server/ResponseWriter.java
@@ -4,7 +4,7 @@
 import hookweir.net.Loop;
 import hookweir.net.Message;
 import hookweir.net.Transport;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.Buffer;
@@ -18,10 +18,10 @@
 
     private final Loop loop;
     private final Transport transport;
-    private final Room room;
+    private final ResourceBudget room;
     private int pendingWrites;
 
-    ResponseWriter(Loop loop, Transport transport, Room room) {
+    ResponseWriter(Loop loop, Transport transport, ResourceBudget room) {
         this.loop = loop;
         this.transport = transport;
         this.room = room;
@@ -53,7 +53,7 @@
 
     private void write(IngressConnection c, Buffer message, Runnable onWritten) {
         int bytes = message.remaining();
-        room.output(bytes);
+        room.addOutput(bytes);
         pendingWrites++;
         if (c.unwrittenSinceUs == 0) {
             c.unwrittenSinceUs = loop.nowUs();
@@ -80,7 +80,7 @@
 
     private void ended(IngressConnection c, int bytes) {
         pendingWrites--;
-        room.outputGone(bytes);
+        room.releaseOutput(bytes);
         c.unwrittenBytes -= bytes;
         c.unwrittenSinceUs = c.unwrittenBytes == 0 ? 0 : loop.nowUs();
     }
--- a/node/src/main/java/hookweir/net/worker/Egress.java
+++ b/node/src/main/java/hookweir/net/worker/Egress.java
@@ -6,7 +6,7 @@
 import hookweir.net.Invariants;
 import hookweir.net.Link;
 import hookweir.net.Loop;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -50,7 +50,7 @@
     private long idleLimitUs;
     private final Deque<WaitingCall> waiting = new ArrayDeque<>();
     private boolean pumping;
-    private final Room room;
+    private final ResourceBudget room;
     /** How many connections are accepted. */
     private final IntSupplier accepted;
     private final Map<Integer, WorkerEndpoint> targets = new HashMap<>();
@@ -61,7 +61,7 @@
     private final IdleLinks idle = new IdleLinks();
     private final RestBudget restBudget = new RestBudget();
 
-    public Egress(Loop loop, Dialer dialer, Invariants invariants, long dialLimitUs, long connIdleUs, Room room, IntSupplier accepted) {
+    public Egress(Loop loop, Dialer dialer, Invariants invariants, long dialLimitUs, long connIdleUs, ResourceBudget room, IntSupplier accepted) {
         this.loop = loop;
         this.dialer = dialer;
         this.invariants = invariants;
@@ -214,7 +214,7 @@
     }
 
     private boolean mayDial() {
-        return room.mayDial(open.size(), accepted.getAsInt());
+        return room.mayConnectToWorker(open.size(), accepted.getAsInt());
     }
 
     private Link reused(WorkerEndpoint target, Link link, Link.Handler handler) {
@@ -317,8 +317,8 @@
 
     /** Links that a busy worker needs all the time are not worth dialling anew for each job, so its share is kept to in need only. */
     private void trim(WorkerEndpoint target) {
-        int share = Math.max(MOST_IDLE, room.mostIdleLinks() / targets.size());
-        if (target.idle.size() > share && !room.isAmple(open.size(), accepted.getAsInt())) {
+        int share = Math.max(MOST_IDLE, room.maxIdleWorkerConnections() / targets.size());
+        if (target.idle.size() > share && !room.hasSpareDescriptors(open.size(), accepted.getAsInt())) {
             Link oldest = target.idle.peekLast();
             idle.take(target, oldest);
             end(oldest);
--- a/node/src/test/java/hookweir/adapter/SessionTest.java
+++ b/node/src/test/java/hookweir/adapter/SessionTest.java
@@ -132,7 +132,7 @@
         return b.array();
     }
 
-    private byte[] play(byte[]... frames) throws IOException, BadInput {
+    private byte[] play(byte[]... frames) throws IOException, InvalidInputException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         for (byte[] f : frames) {
             in.write(f);
@@ -244,7 +244,7 @@
     }
 
     private void bad(byte[] input, String message) {
-        BadInput e = assertThrows(BadInput.class, () -> play(input));
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> play(input));
         assertEquals(message, e.getMessage());
     }
 
--- a/node/src/test/java/hookweir/config/ConfigReaderTest.java
+++ b/node/src/test/java/hookweir/config/ConfigReaderTest.java
@@ -17,19 +17,19 @@
         + "'settings':{'classes':[{'name':'a b','aim_us':7,'semantics':'read_like'}],'family_info':{'class_stretch':[2.5]},'me':3}}";
 
     private static Config read(String json, Map<String, String> env) throws Exception {
-        return ConfigReader.of(new ObjectMapper().readTree(json.replace('\'', '"')), env);
+        return ConfigReader.parse(new ObjectMapper().readTree(json.replace('\'', '"')), env);
     }
 
     @Test
     void nestedSettingsAreMapped() throws Exception {
         Config c = read(GOOD, Map.of("RELAY_LISTEN", "127.0.0.1:5"));
-        assertEquals(5, c.listen().getPort());
-        assertEquals(99, c.sockets());
+        assertEquals(5, c.listenAddress().getPort());
+        assertEquals(99, c.maxDescriptors());
         assertEquals("a_b", c.settings().classNames.get(0));
-        assertEquals(7, c.settings().settings.classes.get(0).softDeadlineUs);
-        assertEquals(2.5, c.settings().settings.classes.get(0).softDeadlineStretch);
-        assertEquals(3, c.settings().settings.schedulerIndex);
-        assertEquals(250_000, c.settings().dialTimeoutUs);
+        assertEquals(7, c.settings().policySettings.classes.get(0).softDeadlineUs);
+        assertEquals(2.5, c.settings().policySettings.classes.get(0).softDeadlineStretch);
+        assertEquals(3, c.settings().policySettings.schedulerIndex);
+        assertEquals(250_000, c.settings().connectTimeoutUs);
     }
 
     private static final String RUNNING = "{'listen':'127.0.0.1:1','discovery':'127.0.0.1:2','settings':{'zones':['z'],"
@@ -44,7 +44,7 @@
                 text = text.replace(replaced[i], replaced[i + 1]);
             }
             Files.writeString(file, text.replace('\'', '"'));
-            return ConfigReader.again(Map.of("RELAY_CONFIG", file.toString()), running);
+            return ConfigReader.reload(Map.of("RELAY_CONFIG", file.toString()), running);
         } finally {
             Files.delete(file);
         }
@@ -62,10 +62,10 @@
             {"'discovery':'127.0.0.1:2',", "", "discovery"}, {"'listen':'127.0.0.1:1',", "", "listen"}, {RUNNING, "", "RELAY_CONFIG"},
             {RUNNING, RUNNING.substring(0, 99), "RELAY_CONFIG"}, {RUNNING, RUNNING + "}", "RELAY_CONFIG"}, {"['z']", "['y']", "zones"},
             {"'name':'a',", "", "classes.0.name"}, {"'max_attempts':3", "'max_attempts':'3'", "limits.max_attempts"}}) {
-            BadSetting e = assertThrows(BadSetting.class, () -> again(running, fault[0], fault[1]), fault[2]);
+            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> again(running, fault[0], fault[1]), fault[2]);
             assertEquals(fault[2], e.key.replaceFirst("^settings\\.", ""));
         }
-        assertThrows(BadSetting.class, () -> read(RUNNING.replace("'max_attempts':3", "'max_attempts':0"), Map.of())); // also at the start
+        assertThrows(InvalidSettingException.class, () -> read(RUNNING.replace("'max_attempts':3", "'max_attempts':0"), Map.of())); // also at the start
     }
 
     /** Jobs under way keep their class: what changed gets a new number, what is gone is known no more, and may come back. */
@@ -75,19 +75,19 @@
         Config second = again(first, "'name':'a','deadline_us':9,'semantics':'read_like'", "'name':'c','deadline_us':9,'semantics':'non_idempotent'",
             "'aim_us':3", "'aim_us':4", "'max_attempts':3", "'max_attempts':1");
         assertEquals(Map.of("c", 2, "b", 3), second.settings().classNumbers);
-        assertEquals(4, second.settings().settings.classes.size());
-        assertEquals(3, second.settings().settings.classes.get(1).softDeadlineUs);
-        assertEquals(4, second.settings().settings.classes.get(3).softDeadlineUs);
-        assertEquals(1, second.settings().settings.maxAttempts);
+        assertEquals(4, second.settings().policySettings.classes.size());
+        assertEquals(3, second.settings().policySettings.classes.get(1).softDeadlineUs);
+        assertEquals(4, second.settings().policySettings.classes.get(3).softDeadlineUs);
+        assertEquals(1, second.settings().policySettings.maxAttempts);
         assertEquals(Map.of("a", 0, "b", 1), again(second).settings().classNumbers);
     }
 
     /** As only descriptor 0 can be inherited, another is a fault. */
     @Test
     void inheritedDescriptorIsNamed() throws Exception {
-        assertTrue(read(GOOD, Map.of("RELAY_FD", "0", "TMPDIR", "/tmp")).inherited());
-        assertEquals("RELAY_FD", assertThrows(BadSetting.class, () -> read(GOOD, Map.of("RELAY_FD", "3"))).key);
-        assertEquals("admin_addr", assertThrows(BadSetting.class, () -> read(GOOD, Map.of("RELAY_ADMIN_ADDR", "here"))).key);
+        assertTrue(read(GOOD, Map.of("RELAY_FD", "0", "TMPDIR", "/tmp")).inheritsListenSocket());
+        assertEquals("RELAY_FD", assertThrows(InvalidSettingException.class, () -> read(GOOD, Map.of("RELAY_FD", "3"))).key);
+        assertEquals("admin_addr", assertThrows(InvalidSettingException.class, () -> read(GOOD, Map.of("RELAY_ADMIN_ADDR", "here"))).key);
     }
 
     /** On unless told otherwise; the variable wins, and a fault names whoever said it. */
@@ -95,13 +95,13 @@
     void handOverCanBeTurnedOff() throws Exception {
         String off = GOOD.replace("'limits'", "'upgrade':{'handover':'off'},'limits'");
         Map<String, String> shared = Map.of("RELAY_FD", "0", "TMPDIR", "/tmp");
-        assertTrue(read(GOOD, shared).handover() && read(GOOD, shared).meeting() != null);
-        assertFalse(read(off, shared).handover());
-        assertNull(read(off, shared).meeting());
-        assertNull(read(GOOD, Map.of("RELAY_FD", "0", "RELAY_HANDOVER", "off")).meeting());
-        assertTrue(read(off, Map.of("RELAY_HANDOVER", "on")).handover());
-        assertEquals("upgrade.handover", assertThrows(BadSetting.class, () -> read(off.replace("'off'", "false"), Map.of())).key);
-        assertEquals("RELAY_HANDOVER", assertThrows(BadSetting.class, () -> read(off, Map.of("RELAY_HANDOVER", "maybe"))).key);
+        assertTrue(read(GOOD, shared).handoverEnabled() && read(GOOD, shared).handoverSocketPath() != null);
+        assertFalse(read(off, shared).handoverEnabled());
+        assertNull(read(off, shared).handoverSocketPath());
+        assertNull(read(GOOD, Map.of("RELAY_FD", "0", "RELAY_HANDOVER", "off")).handoverSocketPath());
+        assertTrue(read(off, Map.of("RELAY_HANDOVER", "on")).handoverEnabled());
+        assertEquals("upgrade.handover", assertThrows(InvalidSettingException.class, () -> read(off.replace("'off'", "false"), Map.of())).key);
+        assertEquals("RELAY_HANDOVER", assertThrows(InvalidSettingException.class, () -> read(off, Map.of("RELAY_HANDOVER", "maybe"))).key);
     }
 
     private static final String SHARED = GOOD.replace("'me':3",
@@ -111,12 +111,12 @@
     void tenantsAndTheirSharesAreRead() throws Exception {
         Config c = read(SHARED, Map.of());
         assertEquals(Map.of("x", 0, "y", 1), c.settings().tenantNumbers);
-        assertEquals(4.5, c.settings().settings.tenantRatePerS[0]);
-        assertEquals(0.2, c.settings().settings.overShareValue);
+        assertEquals(4.5, c.settings().policySettings.tenantRatePerS[0]);
+        assertEquals(0.2, c.settings().policySettings.overShareValue);
         for (String[] fault : new String[][] {{"0.77", "1.77", "orgs.0.portion"}, {"0.23", "-0.1", "orgs.1.portion"}, {"0.23", "'much'", "orgs.1.portion"},
             {"4.5", "-1", "orgs.0.allowance_per_s"}, {"'over_share_worth':0.2", "'over_share_worth':2", "over_share_worth"},
             {"'name':'y',", "", "orgs.1.name"}, {"'name':'y'", "'name':'x'", "orgs.1.name"}, {"0.34", "3.4", "rules.cold_share"}}) {
-            assertEquals(fault[2], assertThrows(BadSetting.class, () -> read(SHARED.replace(fault[0], fault[1]), Map.of()), fault[2]).key);
+            assertEquals(fault[2], assertThrows(InvalidSettingException.class, () -> read(SHARED.replace(fault[0], fault[1]), Map.of()), fault[2]).key);
         }
     }
 
@@ -124,7 +124,7 @@
     void faultsNameTheirKey() {
         for (String[] fault : new String[][] {{"'127.0.0.1:1'", "'nowhere'", "listen"}, {"'127.0.0.1:2'", "'1.2.3.4:99999'", "discovery"},
             {"99", "5", "limits.sockets"}, {"'me':3", "'me':'x'", "me"}, {"read_like", "lively", "classes.0.semantics"}}) {
-            BadSetting e = assertThrows(BadSetting.class, () -> read(GOOD.replace(fault[0], fault[1]), Map.of()));
+            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> read(GOOD.replace(fault[0], fault[1]), Map.of()));
             assertEquals(fault[2], e.key);
         }
     }
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -13,7 +13,7 @@
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
 import hookweir.net.worker.Egress;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -96,9 +96,9 @@
                 + draining(4096).substring(1) + "]},'settings':{'classes':[{'name':'render','deadline_us':9,'semantics':'read_like'}],"
                 + "'zones':['a'],'kinds':['m'],'me':4095,'instances':4096}}").replace('\'', '"'));
             Config config = ConfigReader.fromFile(file, Map.of());
-            assertEquals(4095, config.settings().settings.schedulerIndex);
-            assertEquals(4096, config.settings().settings.schedulerCount);
-            assertEquals(4096, config.known().path("servers").size());
+            assertEquals(4095, config.settings().policySettings.schedulerIndex);
+            assertEquals(4096, config.settings().policySettings.schedulerCount);
+            assertEquals(4096, config.cachedWorkerList().path("servers").size());
         } finally {
             Files.delete(file);
         }
@@ -110,8 +110,8 @@
         Invariants invariants = new Invariants();
         Loop loop = new Loop(invariants);
         Transport transport = new Transport(invariants, loop);
-        Room room = new Room(1 << 20, 100);
-        room.descriptors(100);
+        ResourceBudget room = new ResourceBudget(1 << 20, 100);
+        room.setMaxDescriptors(100);
         Egress egress = new Egress(loop, new Dialer(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         try (ServerSocket door = new ServerSocket(0, 4096, InetAddress.getLoopbackAddress())) {
@@ -139,7 +139,7 @@
                         }
                     }, Egress.ANY);
                 });
-                assertTrue(sizes.take() <= 100 * Room.LINKS_SHARE + 1, "worker " + i);
+                assertTrue(sizes.take() <= 100 * ResourceBudget.MAX_WORKER_CONNECTION_SHARE + 1, "worker " + i);
             }
             assertEquals(WORKERS, egress.targets());
             assertEquals(0, invariants.counted("egress out of links"));
--- a/node/src/test/java/hookweir/net/LinkPool.java
+++ b/node/src/test/java/hookweir/net/LinkPool.java
@@ -6,7 +6,7 @@
 import hookweir.Contract;
 import hookweir.net.worker.Egress;
 import hookweir.net.worker.WorkerEndpoint;
-import hookweir.room.Room;
+import hookweir.room.ResourceBudget;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -42,8 +42,8 @@
     }
 
     LinkPool(int descriptors) throws Exception {
-        Room room = new Room(1 << 20, 100);
-        room.descriptors(descriptors);
+        ResourceBudget room = new ResourceBudget(1 << 20, 100);
+        room.setMaxDescriptors(descriptors);
         egress = new Egress(bare.loop, bare.dialer, invariants, 20_000_000, 20_000_000, room, () -> 0);
         bare.loop.post(() -> egress.told(1, "s-01", new InetSocketAddress(HERE, door.getLocalPort()), Contract.WorkerState.READY));
     }
--- a/node/src/test/java/hookweir/net/ListLeaseTest.java
+++ b/node/src/test/java/hookweir/net/ListLeaseTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.membership.CallFailure;
+import hookweir.membership.ListCallFailure;
 import java.io.IOException;
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
@@ -52,7 +52,7 @@
 
     private static long failedCalls(TestNode n) {
         long failed = 0;
-        for (CallFailure f : CallFailure.values()) {
+        for (ListCallFailure f : ListCallFailure.values()) {
             failed += n.node.invariants().counted("list calls failed " + f);
         }
         return failed;
--- a/node/src/test/java/hookweir/net/ParsersTest.java
+++ b/node/src/test/java/hookweir/net/ParsersTest.java
@@ -7,8 +7,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import hookweir.Contract;
-import hookweir.config.BadSetting;
 import hookweir.config.ConfigReader;
+import hookweir.config.InvalidSettingException;
 import hookweir.net.discovery.Lines;
 import hookweir.net.discovery.ListUpdate;
 import hookweir.net.server.Callback;
@@ -162,7 +162,7 @@
             Files.write(file, garbled("{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"a\",\"limits\":{\"sockets\":99},"
                 + "\"settings\":{\"classes\":[{\"name\":\"x\",\"aim_us\":3}],\"zones\":[\"a\"]}}", noise));
             assertNotNull(ConfigReader.fromFile(file, Map.of()).settings());
-        } catch (BadSetting e) {
+        } catch (InvalidSettingException e) {
             assertTrue(e.getMessage().contains(e.key) && !e.key.isEmpty());
         } finally {
             Files.delete(file);
--- a/node/src/test/java/hookweir/net/TestNode.java
+++ b/node/src/test/java/hookweir/net/TestNode.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.config.BadSetting;
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
+import hookweir.config.InvalidSettingException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -123,9 +123,9 @@
         Config config;
         try {
             Config c = ConfigReader.fromFile(file, Map.of());
-            config = new Config(c.name(), c.listen(), c.admin(), c.discovery(), c.seed(), c.sockets(), c.heldBytes(),
-                c.heldJobs(), c.known(), c.settings(), false, true, meeting, c.source());
-        } catch (BadSetting e) {
+            config = new Config(c.name(), c.listenAddress(), c.adminAddress(), c.listServiceAddress(), c.seed(), c.maxDescriptors(), c.maxHeldBytes(),
+                c.maxHeldJobs(), c.cachedWorkerList(), c.settings(), false, true, meeting, c.sourceJson());
+        } catch (InvalidSettingException e) {
             throw new IllegalStateException(e);
         }
         Files.delete(file);
