--- a/node/src/main/java/hookweir/Main.java
+++ b/node/src/main/java/hookweir/Main.java
@@ -86,7 +86,7 @@
 
         @Override
         int run() throws IOException, InterruptedException {
-            Node.expectReloads();
+            Node.installReloadSignalHandler();
             Config config;
             try {
                 config = ConfigReader.fromEnvironment(System.getenv());
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -10,31 +10,31 @@
 
 /** The settings in force, and what is made of them; replaced as a whole by a reload. Belongs to the {@link Loop}. */
 final class ActiveSettings {
-    private static final int PROBE_DIAL_LIMITS = 2;
-    private static final int TAKE_DIAL_LIMITS = 6;
+    private static final int PROBE_CONNECT_TIMEOUTS = 2;
+    private static final int ACCEPT_CONNECT_TIMEOUTS = 6;
 
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final Figures figures;
     private Contract.Settings settings;
     /** By number. */
     private List<String> classNames;
-    private long probeLimitUs;
+    private long probeTimeoutUs;
     private RequestParser requestParser;
     private LoadReport loadReport;
 
     ActiveSettings(ResourceBudget room, Figures figures, SettingsMapping mapped) {
-        this.room = room;
+        this.budget = room;
         this.figures = figures;
-        adopt(mapped);
+        apply(mapped);
     }
 
     /** Replaces the settings. */
-    void adopt(SettingsMapping mapped) {
+    void apply(SettingsMapping mapped) {
         settings = mapped.policySettings;
         classNames = mapped.classNames;
         figures.classes(List.copyOf(mapped.classNumbers.keySet()));
-        probeLimitUs = PROBE_DIAL_LIMITS * mapped.connectTimeoutUs;
-        room.setClasses(settings.classes);
+        probeTimeoutUs = PROBE_CONNECT_TIMEOUTS * mapped.connectTimeoutUs;
+        budget.setClasses(settings.classes);
         requestParser = new RequestParser(mapped.classNumbers, settings.classes, mapped.tenantNumbers);
         loadReport = new LoadReport(mapped.reportFields);
     }
@@ -60,13 +60,13 @@
     }
 
     /** How long a probe, or a notice to a worker, may take. */
-    long probeLimitUs() {
-        return probeLimitUs;
+    long probeTimeoutUs() {
+        return probeTimeoutUs;
     }
 
     /** A healthy worker says sooner than this that it took a job. */
-    long takeLimitUs() {
-        return TAKE_DIAL_LIMITS / PROBE_DIAL_LIMITS * probeLimitUs;
+    long acceptTimeoutUs() {
+        return ACCEPT_CONNECT_TIMEOUTS / PROBE_CONNECT_TIMEOUTS * probeTimeoutUs;
     }
 
     /** Whether a second attempt at a request of this class does no harm. */
--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -10,20 +10,20 @@
  * One attempt: from {@link SocketHost#send} to its one outcome. Owns the link that it is sent on until the
  * worker's answer is whole. Belongs to the loop.
  */
-final class Attempt implements Link.Handler, Link.Taken {
+final class Attempt implements OutboundConnection.Handler, OutboundConnection.AcceptanceListener {
     /** The answer to a call for which nobody waits any more is read for so long, to keep the link. */
-    private static final long PATIENCE_US = 5_000_000;
+    private static final long LATE_RESPONSE_TIMEOUT_US = 5_000_000;
 
-    private static final long NEAR_END_US = 1_000;
-    private static final int TAKEN = 202;
-    private static final int REDIRECTED = 300;
+    private static final long DEADLINE_MARGIN_US = 1_000;
+    private static final int ACCEPTED = 202;
+    private static final int MIN_REDIRECT_STATUS = 300;
     /** Kept links that break cost a repeatable job a further attempt, and the others all. */
-    private static final double SOME_BREAKS = 0.2;
-    private static final double FEW_BREAKS = 0.02;
+    private static final double MAX_BREAK_RATE_REPEATABLE = 0.2;
+    private static final double MAX_BREAK_RATE_ONCE = 0.02;
 
-    private enum Stage { DIALLING, SENDING, SENT, TAKEN, GIVING_UP, OVER }
+    private enum Stage { CONNECTING, SENDING, SENT, ACCEPTED, CANCELLING, ENDED }
 
-    final PendingRequest pending;
+    final PendingRequest request;
     final int workerId;
     /** Null where the list names no such worker; then nothing is ever sent. */
     final WorkerEndpoint target;
@@ -31,23 +31,23 @@
     private final SocketHost host;
     private final Egress egress;
     private final long startUs;
-    private Stage stage = Stage.DIALLING;
-    private Link link;
-    private TimerWheel.Timer limit;
+    private Stage stage = Stage.CONNECTING;
+    private OutboundConnection connection;
+    private TimerWheel.Timer timeoutTimer;
     /** The wait for a 202, then for the end of an answer that nobody needs. */
-    private TimerWheel.Timer patience;
+    private TimerWheel.Timer responseTimer;
     /** An answer before this may be the second one to an earlier call on the link. */
-    private long doubtUntilUs;
+    private long ambiguousUntilUs;
     /** A refusal or failure that may be an earlier call's: it waits to be told from one. */
-    private Link.Piece held;
+    private OutboundConnection.ResponsePart ambiguousResponse;
     /** The link whose 202 may have been an earlier call's, until a call-back shows that the worker has the job. */
-    private Link takenInDoubt;
+    private OutboundConnection ambiguousConnection;
 
     Attempt(SocketHost host, Egress egress, PendingRequest pending, int workerId, WorkerEndpoint target, int number,
             long startUs) {
         this.host = host;
         this.egress = egress;
-        this.pending = pending;
+        this.request = pending;
         this.workerId = workerId;
         this.target = target;
         this.number = number;
@@ -56,272 +56,272 @@
 
     /** Sends it; stops waiting after so long. */
     void start(long withinUs) {
-        limit = host.loop().after(withinUs, () -> giveUp(Outcome.TIMEOUT));
+        timeoutTimer = host.loop().schedule(withinUs, () -> abandon(Outcome.TIMEOUT));
         if (number == 0) {
-            takeLink();
+            requestConnection();
         } else {
             // What lies unread is heard before a further attempt: its client may have left, or its worker been announced as leaving.
-            host.loop().afterRound(() -> {
-                if (wantsLink()) {
-                    takeLink();
+            host.loop().afterIoRound(() -> {
+                if (needsConnection()) {
+                    requestConnection();
                 }
             });
         }
     }
 
-    private void takeLink() {
-        Link got = egress.link(target, this, host.repeatable(pending) ? SOME_BREAKS : FEW_BREAKS);
-        if (got != null && !over()) {
-            link = got;
+    private void requestConnection() {
+        OutboundConnection got = egress.link(target, this, host.isRepeatable(request) ? MAX_BREAK_RATE_REPEATABLE : MAX_BREAK_RATE_ONCE);
+        if (got != null && !isEnded()) {
+            connection = got;
         }
     }
 
     /** Nothing of it was sent, and it may still be: else it is over. */
     @Override
-    public boolean wantsLink() {
-        if (stage == Stage.DIALLING && !target.ready()) {
+    public boolean needsConnection() {
+        if (stage == Stage.CONNECTING && !target.ready()) {
             // Guards rule 3: a drain counts from a send's first byte, and the wait for a link took its time.
-            over(Outcome.CONNECT_FAILED, null, null);
-        } else if (stage == Stage.DIALLING && pending.closed) {
+            isEnded(Outcome.CONNECT_FAILED, null, null);
+        } else if (stage == Stage.CONNECTING && request.closed) {
             // Its client left meanwhile: where attempts can't be called off, none is begun any more.
-            over(Outcome.MOOT, null, null);
-        } else if (stage == Stage.DIALLING && !host.mayBegin()) {
+            isEnded(Outcome.MOOT, null, null);
+        } else if (stage == Stage.CONNECTING && !host.mayStartAttempt()) {
             // The wait outlasted the lease on the list: its worker may have been announced as leaving.
-            over(Outcome.MOOT, null, null);
+            isEnded(Outcome.MOOT, null, null);
         }
-        return stage == Stage.DIALLING;
+        return stage == Stage.CONNECTING;
     }
 
     @Override
-    public void noLink() {
-        over(Outcome.CONNECT_FAILED, null, null);
+    public void connectionUnavailable() {
+        isEnded(Outcome.CONNECT_FAILED, null, null);
     }
 
     /** Ends it before anything of it left: it went to no target. */
-    void never(Outcome outcome) {
-        over(outcome, null, null);
+    void endUnsent(Outcome outcome) {
+        isEnded(outcome, null, null);
     }
 
-    boolean over() {
-        return stage == Stage.OVER;
+    boolean isEnded() {
+        return stage == Stage.ENDED;
     }
 
     /** The worker may know of it: call-backs can be meant for it. */
-    boolean sent() {
-        return stage != Stage.DIALLING && stage != Stage.OVER;
+    boolean isSent() {
+        return stage != Stage.CONNECTING && stage != Stage.ENDED;
     }
 
     @Override
-    public void up(Link up) {
-        link = up;
-        if (!wantsLink()) {
+    public void connected(OutboundConnection up) {
+        connection = up;
+        if (!needsConnection()) {
             egress.release(target, up, true);
             return;
         }
         stage = Stage.SENDING;
-        doubtUntilUs = up.secondAnswerUntilUs;
-        up.taken(host.loop().nowUs() < doubtUntilUs ? up.taken() : null);
-        var from = pending.from;
+        ambiguousUntilUs = up.duplicateResponseUntilUs;
+        up.acceptanceListener(host.loop().nowUs() < ambiguousUntilUs ? up.acceptanceListener() : null);
+        var from = request.httpRequest;
         var h = from.headers();
-        long leftMs = Math.max(1, (pending.request.deadlineAtUs - host.loop().nowUs()) / 1000);
-        Message head = up.head(from.method(), from.path(), from.query(), target.host())
-            .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).line()
+        long leftMs = Math.max(1, (request.request.deadlineAtUs - host.loop().nowUs()) / 1000);
+        MessageBuilder head = up.requestHead(from.method(), from.path(), from.query(), target.host())
+            .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).endLine()
             .header("Idempotency-Key", h.idempotencyKey()).header("Content-Type", h.contentType())
-            .add("Content-Length: ").add(from.body().length).line();
-        up.call(head, from.body(), this);
+            .add("Content-Length: ").add(from.body().length).endLine();
+        up.sendRequest(head, from.body(), this);
     }
 
     @Override
-    public void written(Link l) {
-        host.dispatched();
+    public void requestWritten(OutboundConnection l) {
+        host.attemptWritten();
         if (stage == Stage.SENDING) {
             stage = Stage.SENT;
-            if (host.repeatable(pending)) {
+            if (host.isRepeatable(request)) {
                 // Guards against a machine that vanished or a process that hangs, while another can still do the job.
-                wait(host.takeLimitUs(), () -> host.loop().afterRound(this::notTaken)); // a 202 that lies unread counts
+                startResponseTimer(host.acceptTimeoutUs(), () -> host.loop().afterIoRound(this::acceptTimedOut)); // a 202 that lies unread counts
             }
         }
     }
 
     /** A 202 may be on its way, and then closing the connection gives nothing up: the worker is told before another attempt begins. */
-    private void notTaken() {
+    private void acceptTimedOut() {
         if (stage == Stage.SENT) {
-            egress.cut(link);
-            letGo();
-            if (host.cancels()) {
-                tellWorker(Outcome.TIMEOUT);
+            egress.cut(connection);
+            detachConnection();
+            if (host.canCancelAttempts()) {
+                cancelAtWorker(Outcome.TIMEOUT);
             } else {
-                over(Outcome.TIMEOUT, null, null);
+                isEnded(Outcome.TIMEOUT, null, null);
             }
         }
     }
 
-    private void tellWorker(Outcome outcome) {
-        stage = Stage.GIVING_UP;
-        boolean lastWord = pending.closed || host.loop().nowUs() >= pending.request.deadlineAtUs - NEAR_END_US;
-        host.delete(this, () -> over(outcome, null, null));
+    private void cancelAtWorker(Outcome outcome) {
+        stage = Stage.CANCELLING;
+        boolean lastWord = request.closed || host.loop().nowUs() >= request.request.deadlineAtUs - DEADLINE_MARGIN_US;
+        host.notifyCancelled(this, () -> isEnded(outcome, null, null));
         if (lastWord) {
             // Nothing more can be sent for it, so nobody need wait for the notice to be written.
-            over(outcome, null, null);
+            isEnded(outcome, null, null);
         }
     }
 
     @Override
-    public void piece(Link l, Link.Piece piece) {
+    public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
         int status = piece.status();
         boolean waiting = stage == Stage.SENDING || stage == Stage.SENT;
-        if (status < REDIRECTED && status != TAKEN) {
+        if (status < MIN_REDIRECT_STATUS && status != ACCEPTED) {
             // No answer to a job: a second one to the check that this link carried before. The job's own is yet to come.
             egress.strayed();
-            if (piece.last()) {
-                l.goesOn();
+            if (piece.isLast()) {
+                l.expectAnotherResponse();
             }
             return;
         }
-        if (waiting && status == TAKEN) {
+        if (waiting && status == ACCEPTED) {
             // The head tells it: what may be missing of the body must not make a reset of a job that was taken.
-            stage = Stage.TAKEN;
-            endLater(l);
+            stage = Stage.ACCEPTED;
+            closeAfterTimeout(l);
         }
-        if (!piece.last()) {
+        if (!piece.isLast()) {
             return;
         }
-        boolean doubtful = host.loop().nowUs() < doubtUntilUs;
-        if (waiting && doubtful && status != TAKEN) {
-            held = piece;
-            wait(doubtUntilUs - host.loop().nowUs(), () -> accept(l, piece));
+        boolean doubtful = host.loop().nowUs() < ambiguousUntilUs;
+        if (waiting && doubtful && status != ACCEPTED) {
+            ambiguousResponse = piece;
+            startResponseTimer(ambiguousUntilUs - host.loop().nowUs(), () -> handleResponse(l, piece));
             return;
         }
         if (waiting && doubtful) {
-            takenInDoubt = l;
-            l.taken(this);
+            ambiguousConnection = l;
+            l.acceptanceListener(this);
         }
-        accept(l, piece);
+        handleResponse(l, piece);
     }
 
     /** The answer is this attempt's. */
-    private void accept(Link l, Link.Piece piece) {
+    private void handleResponse(OutboundConnection l, OutboundConnection.ResponsePart piece) {
         boolean refused = stage == Stage.SENDING || stage == Stage.SENT;
-        held = null;
+        ambiguousResponse = null;
         egress.used(l, false);
         egress.settles(target, l, piece.keepAlive());
-        letGo();
+        detachConnection();
         if (!refused) {
             return;
         }
         if ((piece.status() == 503 || piece.status() == 504) && piece.declined()) {
-            over(Outcome.FULL, host.report(piece.load()), null);
+            isEnded(Outcome.FULL, host.parseLoadReport(piece.load()), null);
         } else {
-            over(Outcome.ERROR, host.report(piece.load()), null);
+            isEnded(Outcome.ERROR, host.parseLoadReport(piece.load()), null);
         }
     }
 
     /** Two answers came to this attempt and the one before it on the link: nobody knows which is whose. */
     @Override
-    public void unasked(Link l, int status) {
+    public void unexpectedResponse(OutboundConnection l, int status) {
         // The one that was held decides where the other is a 202: either may be the earlier call's.
-        egress.answeredTwice(target, l, held == null ? status : held.status());
+        egress.answeredTwice(target, l, ambiguousResponse == null ? status : ambiguousResponse.status());
     }
 
     /** The 202 may have been another's and the worker may not have the job: as if the connection had broken before it. */
     @Override
-    public void inDoubt() {
-        if (stage != Stage.TAKEN) {
+    public void acceptanceInDoubt() {
+        if (stage != Stage.ACCEPTED) {
             return;
         }
-        if (host.cancels()) {
-            tellWorker(Outcome.RESET);
+        if (host.canCancelAttempts()) {
+            cancelAtWorker(Outcome.RESET);
         } else {
-            over(Outcome.RESET, null, null);
+            isEnded(Outcome.RESET, null, null);
         }
     }
 
     /** A call-back shows that the worker has the job. */
-    void known() {
-        if (takenInDoubt != null && takenInDoubt.taken() == this) {
-            takenInDoubt.taken(null);
+    void confirmAcceptance() {
+        if (ambiguousConnection != null && ambiguousConnection.acceptanceListener() == this) {
+            ambiguousConnection.acceptanceListener(null);
         }
-        takenInDoubt = null;
+        ambiguousConnection = null;
     }
 
     @Override
-    public void down(Link l) {
+    public void disconnected(OutboundConnection l) {
         egress.used(l, true);
         egress.end(l);
-        letGo();
-        if (stage == Stage.DIALLING || stage == Stage.SENDING) {
-            over(Outcome.CONNECT_FAILED, null, null);
+        detachConnection();
+        if (stage == Stage.CONNECTING || stage == Stage.SENDING) {
+            isEnded(Outcome.CONNECT_FAILED, null, null);
         } else if (stage == Stage.SENT) {
-            over(Outcome.RESET, null, null);
+            isEnded(Outcome.RESET, null, null);
         }
     }
 
     /** A call-back that ends it. */
-    void told(Outcome outcome, Report report, byte[] result) {
-        if (held != null) {
+    void endByCallback(Outcome outcome, Report report, byte[] result) {
+        if (ambiguousResponse != null) {
             // The worker had taken it, so the answer that is held was another's.
-            Link l = link;
-            egress.answeredTwice(target, l, held.status());
-            letGo();
+            OutboundConnection l = connection;
+            egress.answeredTwice(target, l, ambiguousResponse.status());
+            detachConnection();
             egress.end(l);
-        } else if (link != null && !over()) {
-            endLater(link); // it came before the 202
+        } else if (connection != null && !isEnded()) {
+            closeAfterTimeout(connection); // it came before the 202
         }
-        over(outcome, report, result);
+        isEnded(outcome, report, result);
     }
 
     /** An answer that nobody needs any more is still read for the link's sake, but not for ever. */
-    private void endLater(Link kept) {
-        wait(PATIENCE_US, () -> {
-            if (link == kept) {
-                letGo();
+    private void closeAfterTimeout(OutboundConnection kept) {
+        startResponseTimer(LATE_RESPONSE_TIMEOUT_US, () -> {
+            if (connection == kept) {
+                detachConnection();
                 egress.end(kept);
             }
         });
     }
 
-    private void wait(long us, Runnable then) {
-        if (patience != null) {
-            patience.cancel();
+    private void startResponseTimer(long us, Runnable then) {
+        if (responseTimer != null) {
+            responseTimer.cancel();
         }
-        patience = host.loop().after(us, then);
+        responseTimer = host.loop().schedule(us, then);
     }
 
     /** The link is no longer this attempt's, and so is nothing to wait for on it. */
-    private void letGo() {
-        link = null;
-        held = null;
-        if (patience != null) {
-            patience.cancel();
+    private void detachConnection() {
+        connection = null;
+        ambiguousResponse = null;
+        if (responseTimer != null) {
+            responseTimer.cancel();
         }
     }
 
     /** Stops waiting for it, and lets the worker know. */
-    void giveUp(Outcome outcome) {
+    void abandon(Outcome outcome) {
         switch (stage) {
-            case DIALLING -> {
+            case CONNECTING -> {
                 // A dial that comes up late all the same is kept for the next attempt.
-                over(outcome, null, null);
+                isEnded(outcome, null, null);
             }
             case SENDING, SENT -> {
-                egress.cut(link);
-                letGo();
-                over(outcome, null, null);
+                egress.cut(connection);
+                detachConnection();
+                isEnded(outcome, null, null);
             }
-            case TAKEN -> tellWorker(outcome);
+            case ACCEPTED -> cancelAtWorker(outcome);
             default -> { }
         }
     }
 
-    private void over(Outcome outcome, Report report, byte[] result) {
-        if (stage == Stage.OVER) {
+    private void isEnded(Outcome outcome, Report report, byte[] result) {
+        if (stage == Stage.ENDED) {
             return;
         }
-        stage = Stage.OVER;
-        known();
-        if (limit != null) {
-            limit.cancel();
+        stage = Stage.ENDED;
+        confirmAcceptance();
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
-        host.attemptOver(this, outcome, host.loop().nowUs() - startUs, report, result);
+        host.attemptEnded(this, outcome, host.loop().nowUs() - startUs, report, result);
     }
 }
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -8,7 +8,7 @@
 
 /** Sends attempts to workers, cancels them, and tells the decision module how each ended. Belongs to the {@link Loop}. */
 final class AttemptSender {
-    private static final long MS = 1_000;
+    private static final long US_PER_MS = 1_000;
 
     private final SocketHost host;
     private final Loop loop;
@@ -16,10 +16,10 @@
     private final EventLog events;
     private final ActiveSettings active;
     private final Egress egress;
-    private final HeldRequests held;
+    private final PendingRequests pending;
     private final Contract.Dispatcher module;
 
-    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, Egress egress, HeldRequests held,
+    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, Egress egress, PendingRequests held,
             Contract.Dispatcher module) {
         this.host = host;
         this.loop = loop;
@@ -27,14 +27,14 @@
         this.events = events;
         this.active = active;
         this.egress = egress;
-        this.held = held;
+        this.pending = held;
         this.module = module;
     }
 
     /** Sends a request to a worker, and gives the attempt up after so long; 0 means at the request's deadline. */
     void send(int requestId, int workerId, long withinUs) {
-        PendingRequest request = held.byNumber(requestId);
-        if (!invariants.hold(request != null, "send for an unknown request")) {
+        PendingRequest request = pending.byNumber(requestId);
+        if (!invariants.check(request != null, "send for an unknown request")) {
             loop.post(() -> module.attemptEnded(loop.nowUs(), requestId, 0, workerId, Outcome.MOOT, 0, true, null));
             return;
         }
@@ -43,49 +43,49 @@
         int number = request.attempts.size();
         WorkerEndpoint worker = egress.target(workerId);
         boolean moot = request.closed || leftUs <= 0 || number >= active.settings().maxAttempts
-            || !invariants.hold(active.settings().concurrentAttemptsAllowed || request.out() == null, "two attempts out at once");
+            || !invariants.check(active.settings().concurrentAttemptsAllowed || request.outstandingAttempt() == null, "two attempts out at once");
         Attempt attempt = new Attempt(host, egress, request, workerId, moot ? null : worker, number, now);
         request.attempts.add(attempt);
         if (number > 0) {
-            events.event(() -> "request " + request.clientId() + " retry: attempt " + number + " to " + nameOf(worker, workerId));
+            events.log(() -> "request " + request.clientId() + " retry: attempt " + number + " to " + workerName(worker, workerId));
         }
         if (moot) {
-            attempt.never(Outcome.MOOT);
+            attempt.endUnsent(Outcome.MOOT);
         } else if (worker == null) {
-            attempt.never(Outcome.CONNECT_FAILED);
+            attempt.endUnsent(Outcome.CONNECT_FAILED);
         } else {
             attempt.start(withinUs > 0 ? Math.min(withinUs, leftUs) : leftUs);
         }
     }
 
-    private static String nameOf(WorkerEndpoint worker, int workerId) {
+    private static String workerName(WorkerEndpoint worker, int workerId) {
         return worker == null ? "unlisted worker " + Integer.toHexString(workerId) : worker.name;
     }
 
     /** Cancels an attempt, if it is still out. */
     void cancel(int requestId, int number) {
-        PendingRequest request = held.byNumber(requestId);
+        PendingRequest request = pending.byNumber(requestId);
         if (request != null && number >= 0 && number < request.attempts.size()) {
-            request.attempts.get(number).giveUp(Outcome.CANCELLED);
+            request.attempts.get(number).abandon(Outcome.CANCELLED);
         }
     }
 
     /** The one end of every attempt: answers the client if the job was done, then tells the decision module. */
-    void ended(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
-        PendingRequest request = attempt.pending;
+    void attemptEnded(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
+        PendingRequest request = attempt.request;
         invariants.count("attempts " + outcome);
         if (outcome != Outcome.OK) {
-            events.event(() -> "request " + request.clientId() + " attempt " + attempt.number + " at " + nameOf(attempt.target, attempt.workerId)
-                + " ended " + outcome + " after " + elapsedUs / MS + " ms");
+            events.log(() -> "request " + request.clientId() + " attempt " + attempt.number + " at " + workerName(attempt.target, attempt.workerId)
+                + " ended " + outcome + " after " + elapsedUs / US_PER_MS + " ms");
         }
         Runnable tell = () -> {
             module.attemptEnded(loop.nowUs(), request.request.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
-            held.settle(request);
+            pending.removeIfFinished(request);
         };
         if (outcome == Outcome.OK) {
             // Only a call-back ends an attempt so, and no call-back comes inside a call of the module: it is told at once, or it
             // could decide on a job that was done a moment ago.
-            held.answer(request, HttpStatus.OK, null, result);
+            pending.respond(request, HttpStatus.OK, null, result);
             tell.run();
         } else {
             loop.post(tell);
@@ -93,16 +93,16 @@
     }
 
     /** Tells a worker that an attempt that it took is given up; runs the task once that is on its way, or can't be. */
-    void notifyGivenUp(Attempt attempt, Runnable after) {
-        String path = "/jobs/" + attempt.pending.from.headers().id();
-        new Errand(loop, egress, invariants, active.probeLimitUs(), attempt.target, "DELETE", path, Egress.ANY) {
+    void notifyCancelled(Attempt attempt, Runnable after) {
+        String path = "/jobs/" + attempt.request.httpRequest.headers().id();
+        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), attempt.target, "DELETE", path, Egress.ANY) {
             @Override
             void onWritten() {
                 after.run();
             }
 
             @Override
-            void onEnd(Outcome outcome, Link.Piece last, byte[] body) {
+            void onEnd(Outcome outcome, OutboundConnection.ResponsePart last, byte[] body) {
                 after.run();
             }
         }.start();
--- a/node/src/main/java/hookweir/net/Recent.java
+++ b/node/src/main/java/hookweir/net/BoundedSets.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /** Sets with a bound that forget the eldest. */
-public final class Recent {
-    private Recent() {
+public final class BoundedSets {
+    private BoundedSets() {
     }
 
     /** A set of the last so many things that were added; one that is in it already keeps its age. */
-    public static <T> Set<T> last(int most) {
+    public static <T> Set<T> evictingOldest(int most) {
         return Collections.newSetFromMap(new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/hookweir/net/CallbackReceiver.java
+++ b/node/src/main/java/hookweir/net/CallbackReceiver.java
@@ -21,17 +21,17 @@
     private final Invariants invariants;
     private final ActiveSettings active;
     private final Ingress ingress;
-    private final HeldRequests held;
+    private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final Succession succession;
 
-    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, Ingress ingress, HeldRequests held,
+    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, Ingress ingress, PendingRequests held,
             Contract.Dispatcher module, Succession succession) {
         this.loop = loop;
         this.invariants = invariants;
         this.active = active;
         this.ingress = ingress;
-        this.held = held;
+        this.pending = held;
         this.module = module;
         this.succession = succession;
     }
@@ -42,7 +42,7 @@
         if (callback == null) {
             invariants.count("ingress bad call-back");
             ingress.answer(from, HttpStatus.BAD_REQUEST, null, NO_BODY);
-        } else if (held.isKnown(callback.id())) {
+        } else if (pending.isKnown(callback.id())) {
             ingress.answer(from, HttpStatus.NO_CONTENT, null, NO_BODY);
             apply(callback);
         } else {
@@ -54,9 +54,9 @@
     }
 
     /** Receives a call-back from another process; the verdict says whether it was known here, or further on. */
-    void passed(byte[] body, Wire from, Consumer<Boolean> verdict) {
+    void receiveForwarded(byte[] body, Wire from, Consumer<Boolean> verdict) {
         Callback callback = Callback.parse(body);
-        if (callback != null && held.isKnown(callback.id())) {
+        if (callback != null && pending.isKnown(callback.id())) {
             invariants.count("call-backs from a neighbour");
             apply(callback);
             verdict.accept(true);
@@ -66,28 +66,28 @@
     }
 
     private void apply(Callback callback) {
-        PendingRequest request = held.byClientId(callback.id());
+        PendingRequest request = pending.byClientId(callback.id());
         Attempt attempt = request == null ? null : lastAttemptAt(request, callback.from());
         if (attempt == null) {
             // Repeated, late, or not from the worker that has the job: answered, but nothing comes of it.
             invariants.count("call-backs for nothing");
             return;
         }
-        attempt.known();
+        attempt.confirmAcceptance();
         Report report = active.loadReport().ofJson(callback.load());
         switch (callback.state()) {
             case "started" -> progress(attempt, 0);
             case "running" -> progress(attempt, callback.share());
-            case "done" -> attempt.told(Outcome.OK, report, callback.result());
-            case "failed" -> attempt.told(Outcome.ERROR, report, null);
-            case "returned" -> attempt.told(Outcome.FULL, report, null);
-            case "lost" -> attempt.told(Outcome.RESET, report, null);
+            case "done" -> attempt.endByCallback(Outcome.OK, report, callback.result());
+            case "failed" -> attempt.endByCallback(Outcome.ERROR, report, null);
+            case "returned" -> attempt.endByCallback(Outcome.FULL, report, null);
+            case "lost" -> attempt.endByCallback(Outcome.RESET, report, null);
             default -> invariants.count("call-backs of unknown state");
         }
     }
 
     private void progress(Attempt attempt, double share) {
-        module.progressReported(loop.nowUs(), attempt.pending.request.id, attempt.number, attempt.workerId, share);
+        module.progressReported(loop.nowUs(), attempt.request.request.id, attempt.number, attempt.workerId, share);
     }
 
     /** The last attempt that the named worker may know of, or null. */
@@ -95,7 +95,7 @@
         Attempt last = null;
         for (int i = 0; i < request.attempts.size(); i++) {
             Attempt attempt = request.attempts.get(i);
-            if (attempt.sent() && attempt.target.name.equals(worker)) {
+            if (attempt.isSent() && attempt.target.name.equals(worker)) {
                 last = attempt;
             }
         }
--- a/node/src/main/java/hookweir/net/Dialer.java
+++ b/node/src/main/java/hookweir/net/Connector.java
@@ -18,54 +18,54 @@
 import org.glassfish.grizzly.filterchain.TransportFilter;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
-/** Opens {@link Link}s over one filter chain: transport, and a filter that reads answers. */
-public final class Dialer {
-    private static final Attribute<Link> LINK = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.link");
+/** Opens {@link OutboundConnection}s over one filter chain: transport, and a filter that reads answers. */
+public final class Connector {
+    private static final Attribute<OutboundConnection> CONNECTION = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.link");
 
     private final Loop loop;
     private final Transport transport;
-    private final TCPNIOConnectorHandler connector;
+    private final TCPNIOConnectorHandler connectorHandler;
 
-    public Dialer(Loop loop, Transport transport) {
+    public Connector(Loop loop, Transport transport) {
         this.loop = loop;
         this.transport = transport;
         FilterChain chain = FilterChainBuilder.stateless()
             .add(new TransportFilter())
-            .add(new AnswerFilter())
+            .add(new ResponseFilter())
             .build();
-        connector = TCPNIOConnectorHandler.builder(transport.tcp()).processor(chain).build();
+        connectorHandler = TCPNIOConnectorHandler.builder(transport.tcp()).processor(chain).build();
     }
 
     /** Dials; the handler hears of the link when it is up, or that it is down at the latest after the limit. */
     @SuppressWarnings("rawtypes") // the connector's own signature
-    public Link dial(InetSocketAddress to, long limitUs, Link.Handler handler) {
-        Link link = new Link(loop, transport, limitUs, handler);
-        GrizzlyFuture<Connection> dial = connector.connect(to);
-        link.dialled(dial);
+    public OutboundConnection connect(InetSocketAddress to, long limitUs, OutboundConnection.Handler handler) {
+        OutboundConnection link = new OutboundConnection(loop, transport, limitUs, handler);
+        GrizzlyFuture<Connection> dial = connectorHandler.connect(to);
+        link.setConnectFuture(dial);
         dial.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
             public void completed(Connection c) {
-                LINK.set(c, link);
-                c.addCloseListener((CloseListener<Closeable, CloseType>) (closeable, type) -> link.ended());
+                CONNECTION.set(c, link);
+                c.addCloseListener((CloseListener<Closeable, CloseType>) (closeable, type) -> link.connectionEnded());
                 link.connected(c);
             }
 
             @Override
             public void failed(Throwable t) {
-                link.ended();
+                link.connectionEnded();
             }
         });
         return link;
     }
 
     /** Runs on the selector: hands pieces of answers to the link they belong to. */
-    private final class AnswerFilter extends BaseFilter {
+    private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            Link link = LINK.get(ctx.getConnection());
+            OutboundConnection link = CONNECTION.get(ctx.getConnection());
             Buffer in = ctx.getMessage();
             int n = in.remaining();
-            byte[] bytes = transport.received(in);
+            byte[] bytes = transport.copyReceived(in);
             loop.now(() -> {
                 if (link == null || !link.read(bytes, n)) {
                     ctx.getConnection().closeSilently();
--- a/node/src/main/java/hookweir/net/EventLog.java
+++ b/node/src/main/java/hookweir/net/EventLog.java
@@ -6,21 +6,21 @@
 
 /**
  * Logs single events with what they concern: calls to the list service, retries, refusals and closes with their reasons. A token
- * bucket bounds it to {@value #BURST} lines at once and {@value #PER_S} a second, so that a storm neither fills a disk nor takes
+ * bucket bounds it to {@value #BURST_LINES} lines at once and {@value #LINES_PER_S} a second, so that a storm neither fills a disk nor takes
  * the processor; what is left out is counted. Belongs to the {@link Loop}.
  */
 public final class EventLog {
     /** Lines that may be logged at once. */
-    static final int BURST = 200;
+    static final int BURST_LINES = 200;
     /** Lines a second in the long run. */
-    static final int PER_S = 20;
+    static final int LINES_PER_S = 20;
     private static final double US_PER_S = 1e6;
 
     private final LongSupplier nowUs;
     private final Invariants invariants;
     private final long startedUs;
-    private double tokens = BURST;
-    private long filledUs;
+    private double tokens = BURST_LINES;
+    private long refilledUs;
 
     /**
      * An empty log.
@@ -31,14 +31,14 @@
         this.nowUs = nowUs;
         this.invariants = invariants;
         startedUs = nowUs.getAsLong();
-        filledUs = startedUs;
+        refilledUs = startedUs;
     }
 
     /** Logs an event, with the seconds since the start; its text is only made where it is logged. */
-    public void event(Supplier<String> text) {
+    public void log(Supplier<String> text) {
         long now = nowUs.getAsLong();
-        tokens = Math.min(BURST, tokens + (now - filledUs) * PER_S / US_PER_S);
-        filledUs = now;
+        tokens = Math.min(BURST_LINES, tokens + (now - refilledUs) * LINES_PER_S / US_PER_S);
+        refilledUs = now;
         if (tokens < 1) {
             invariants.count("events not logged");
             return;
--- a/node/src/main/java/hookweir/net/HalfClose.java
+++ b/node/src/main/java/hookweir/net/HalfClose.java
@@ -18,7 +18,7 @@
     }
 
     /** Tells the peer that nothing more comes; false where the connection is gone already, and is closed. */
-    public static boolean shutOutput(Connection<?> c) {
+    public static boolean shutdownOutput(Connection<?> c) {
         try {
             ((SocketChannel) ((NIOConnection) c).getChannel()).shutdownOutput();
             return true;
--- a/node/src/main/java/hookweir/net/HttpStatus.java
+++ b/node/src/main/java/hookweir/net/HttpStatus.java
@@ -21,9 +21,9 @@
     /** 429: trying again is harmless. */
     public static final int TOO_MANY_REQUESTS = 429;
     /** 500: it may have run. */
-    public static final int SERVER_ERROR = 500;
+    public static final int INTERNAL_SERVER_ERROR = 500;
     /** 503. */
-    public static final int UNAVAILABLE = 503;
+    public static final int SERVICE_UNAVAILABLE = 503;
 
     private HttpStatus() {
     }
--- a/node/src/main/java/hookweir/net/Invariants.java
+++ b/node/src/main/java/hookweir/net/Invariants.java
@@ -12,7 +12,7 @@
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
     /** Demands that something holds; its name is the counter's. */
-    public boolean hold(boolean holds, String name) {
+    public boolean check(boolean holds, String name) {
         if (!holds) {
             count("BROKEN " + name);
             assert false : name;
--- a/node/src/main/java/hookweir/net/Loop.java
+++ b/node/src/main/java/hookweir/net/Loop.java
@@ -17,24 +17,24 @@
  */
 public final class Loop {
     /** I/O gets its turn after so many tasks, or once all are done that the last round posted. */
-    private static final int MOST_TASKS = 256;
+    private static final int MAX_TASKS_PER_TURN = 256;
 
-    private final Queue<Runnable> fromOthers = new ConcurrentLinkedQueue<>();
-    private final ArrayDeque<Runnable> own = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> afterRound = new ArrayDeque<>();
+    private final Queue<Runnable> otherThreadTasks = new ConcurrentLinkedQueue<>();
+    private final ArrayDeque<Runnable> ownerTasks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> afterIoRound = new ArrayDeque<>();
     private final Invariants invariants;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final long wallUs = System.currentTimeMillis() * 1000;
+    private final long startUnixUs = System.currentTimeMillis() * 1000;
     private final LongSupplier clock;
-    private final long nanos;
-    private final TimerWheel timers = new TimerWheel(wallUs);
-    private volatile Runnable waker = () -> { };
+    private final long startNanos;
+    private final TimerWheel timerCount = new TimerWheel(startUnixUs);
+    private volatile Runnable setWaker = () -> { };
     private volatile boolean running;
     private volatile Thread owner;
-    private volatile Consumer<Error> death = this::die;
-    private volatile Error died;
+    private volatile Consumer<Error> fatalErrorHandler = this::recordFatalError;
+    private volatile Error fatalError;
     /** When the last turn began. */
-    private long turnUs;
+    private long turnStartedUs;
 
     public Loop(Invariants invariants) {
         this(invariants, System::nanoTime);
@@ -44,45 +44,45 @@
     Loop(Invariants invariants, LongSupplier clock) {
         this.invariants = invariants;
         this.clock = clock;
-        nanos = clock.getAsLong();
+        startNanos = clock.getAsLong();
     }
 
     /** Now, in microseconds since 1970 as this clock has it. */
     public long nowUs() {
-        return wallUs + (clock.getAsLong() - nanos) / 1000;
+        return startUnixUs + (clock.getAsLong() - startNanos) / 1000;
     }
 
     /**
      * Nothing that the present round of I/O reads can have lain there before this time: the round before read all that there was.
      * Owner thread only.
      */
-    public long unreadSinceUs() {
-        return turnUs;
+    public long earliestArrivalUs() {
+        return turnStartedUs;
     }
 
     /** How to wake the owner thread from its wait for I/O. */
-    void waker(Runnable newWaker) {
-        waker = newWaker;
+    void setWaker(Runnable newWaker) {
+        setWaker = newWaker;
     }
 
     /** Runs the task on the owner thread, after all that the same thread posted before. Any thread. */
     public void post(Runnable task) {
         if (isOwner()) {
-            own.add(task);
+            ownerTasks.add(task);
         } else {
-            fromOthers.add(task);
-            waker.run();
+            otherThreadTasks.add(task);
+            setWaker.run();
         }
     }
 
     /** Runs the task after the delay. Owner thread only. */
-    public TimerWheel.Timer after(long delayUs, Runnable task) {
-        return timers.schedule(nowUs() + Math.max(0, delayUs), task);
+    public TimerWheel.Timer schedule(long delayUs, Runnable task) {
+        return timerCount.schedule(nowUs() + Math.max(0, delayUs), task);
     }
 
     /** Runs the task once a whole round of I/O has read what is there by now. From a task or timer of the owner thread only. */
-    public void afterRound(Runnable task) {
-        afterRound.add(task);
+    public void afterIoRound(Runnable task) {
+        afterIoRound.add(task);
     }
 
     /** The calling thread owns all state. */
@@ -96,8 +96,8 @@
     }
 
     /** Timers that are set. Owner thread only. */
-    int timers() {
-        return timers.size();
+    int timerCount() {
+        return timerCount.size();
     }
 
     /** Ends {@link #run} after the present task. Owner thread only. */
@@ -109,25 +109,25 @@
     /** Lets the turns begin, and waits for {@link #stop}. An error that ended the loop is thrown here. */
     public void run() {
         running = true;
-        waker.run();
+        setWaker.run();
         try {
             stopped.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (died != null) {
-            throw died;
+        if (fatalError != null) {
+            throw fatalError;
         }
     }
 
-    private void die(Error e) {
-        died = e;
+    private void recordFatalError(Error e) {
+        fatalError = e;
         stop();
     }
 
     /** What to do when an error, such as a lack of memory, hits the owner thread; without this {@link #run} throws it. */
-    void onDeath(Consumer<Error> newDeath) {
-        death = newDeath;
+    void onFatalError(Consumer<Error> newDeath) {
+        fatalErrorHandler = newDeath;
     }
 
     /**
@@ -140,29 +140,29 @@
         if (owner == null) {
             owner = Thread.currentThread();
         }
-        turnUs = nowUs();
-        own.addAll(afterRound);
-        afterRound.clear();
+        turnStartedUs = nowUs();
+        ownerTasks.addAll(afterIoRound);
+        afterIoRound.clear();
         // All that the last round posted is done before the next one posts more; timers and tasks take turns, as neither may
         // hold up the other: a late timer is a deadline passed unseen.
-        int most = Math.max(MOST_TASKS, 2 * own.size());
+        int most = Math.max(MAX_TASKS_PER_TURN, 2 * ownerTasks.size());
         for (int i = 0; i < most && running; i++) {
             boolean timersFirst = i % 2 == 0;
-            Runnable task = timersFirst ? timers.poll(nowUs()) : posted();
+            Runnable task = timersFirst ? timerCount.poll(nowUs()) : nextPosted();
             if (task == null) {
-                task = timersFirst ? posted() : timers.poll(nowUs());
+                task = timersFirst ? nextPosted() : timerCount.poll(nowUs());
             }
             if (task == null) {
-                return afterRound.isEmpty() ? timers.idleTimeUs(nowUs()) : 0;
+                return afterIoRound.isEmpty() ? timerCount.idleTimeUs(nowUs()) : 0;
             }
             now(task);
         }
         return running ? 0 : 1_000_000;
     }
 
-    private Runnable posted() {
-        Runnable task = fromOthers.poll();
-        return task == null ? own.poll() : task;
+    private Runnable nextPosted() {
+        Runnable task = otherThreadTasks.poll();
+        return task == null ? ownerTasks.poll() : task;
     }
 
     /** Runs a round of I/O's event at once. Owner thread only, and from no call of the module. */
@@ -171,7 +171,7 @@
             task.run();
         } catch (Error e) {
             // Whatever it was, state may be half changed: nothing more is decided on it.
-            death.accept(e);
+            fatalErrorHandler.accept(e);
         } catch (RuntimeException e) {
             invariants.count("BROKEN event failed");
             StackTraceElement[] trace = e.getStackTrace();
--- a/node/src/main/java/hookweir/net/LoopSelector.java
+++ b/node/src/main/java/hookweir/net/LoopSelector.java
@@ -10,7 +10,7 @@
 
 /** Gives the {@link Loop} its turn before each wait for I/O, and waits no longer than the next timer allows. */
 final class LoopSelector extends DefaultSelectorHandler {
-    private static final long NOT_RUNNING_NS = 1_000_000;
+    private static final long IDLE_PARK_NS = 1_000_000;
     private static final long US_PER_MS = 1000;
 
     private final Loop loop;
@@ -18,7 +18,7 @@
 
     LoopSelector(Loop loop) {
         this.loop = loop;
-        loop.waker(this::wake);
+        loop.setWaker(this::wake);
     }
 
     private void wake() {
@@ -36,7 +36,7 @@
         long waitUs = loop.turn();
         if (!loop.isRunning()) {
             // Guards against a client that is read before the module has its list, or after the process chose to leave.
-            LockSupport.parkNanos(NOT_RUNNING_NS);
+            LockSupport.parkNanos(IDLE_PARK_NS);
             return Set.of();
         }
         if (waitUs <= 0 || !runner.getPostponedTasks().isEmpty()) {
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -25,9 +25,9 @@
      * How long a start waits for a list service that is asked and neither answers nor refuses, in µs. A start has to be ready within
      * 6 s, of which the process itself takes 1 to 2.
      */
-    private static final long ASKED_LIMIT_US = 4_000_000;
+    private static final long POLL_START_TIMEOUT_US = 4_000_000;
     /** The same for an agent on this machine, which answers at once or is silent while it has nobody to ask itself. */
-    private static final long AGENT_LIMIT_US = 500_000;
+    private static final long PUSH_START_TIMEOUT_US = 500_000;
 
     private final Loop loop;
     private final Invariants invariants;
@@ -38,19 +38,19 @@
     private final ListUpdate.Parser parser;
     private final Discovery discovery;
     private final ListLease lease;
-    private TimerWheel.Timer expiry;
+    private TimerWheel.Timer expiryTimer;
     /** As the module was told last. */
-    private boolean permitted;
+    private boolean leaseValid;
     /** The start is over: lists are passed on as they come. */
-    private boolean ready;
+    private boolean started;
     /** What is passed on as the start ends: the list as last held, and what came before the whole list, where that is waited for. */
-    private final List<ListUpdate> held = new ArrayList<>();
-    private boolean pushed;
+    private final List<ListUpdate> pendingUpdates = new ArrayList<>();
+    private boolean listPushed;
 
     /**
      * @param onReady runs once, as requests may be sent from then on
      */
-    Membership(Config config, Loop loop, Dialer dialer, Invariants invariants, EventLog events, Egress egress, Contract.Dispatcher module,
+    Membership(Config config, Loop loop, Connector dialer, Invariants invariants, EventLog events, Egress egress, Contract.Dispatcher module,
             Runnable onReady) {
         this.loop = loop;
         this.invariants = invariants;
@@ -59,70 +59,70 @@
         this.module = module;
         this.onReady = onReady;
         lease = new ListLease(!config.settings().policySettings.pollList);
-        adopt(config.settings());
+        applySettings(config.settings());
         parser = new ListUpdate.Parser(config.settings().zoneNames, config.settings().kindNames, invariants, loop::nowUs);
-        discovery = new Discovery(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> pushed, this);
+        discovery = new Discovery(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> listPushed, this);
     }
 
     /** Takes over what the settings say of the list. */
-    void adopt(SettingsMapping mapped) {
-        pushed = !mapped.policySettings.pollList;
-        lease.setListsPushed(pushed);
+    void applySettings(SettingsMapping mapped) {
+        listPushed = !mapped.policySettings.pollList;
+        lease.setListsPushed(listPushed);
     }
 
     /** Begins with the list as last held, by which nothing is sent yet, and asks for the present one. */
     void start(Config config) {
         ListUpdate known = config.cachedWorkerList() == null ? null : parser.parse(config.cachedWorkerList());
         boolean usable = known != null && !known.entries().isEmpty();
-        held.add(new ListUpdate(0, true, usable ? known.entries() : List.of()));
+        pendingUpdates.add(new ListUpdate(0, true, usable ? known.entries() : List.of()));
         // Where nothing is held, changes to it would be no list.
-        discovery.seeded(pushed || !usable ? Discovery.UNKNOWN : known.version());
-        tellLease();
+        discovery.seeded(listPushed || !usable ? Discovery.UNKNOWN : known.version());
+        updateLease();
         module.workerListReceived(loop.nowUs(), false, List.of());
-        if (pushed) {
+        if (listPushed) {
             discovery.watch(true);
         }
-        loop.after(pushed ? AGENT_LIMIT_US : ASKED_LIMIT_US, () -> {
+        loop.schedule(listPushed ? PUSH_START_TIMEOUT_US : POLL_START_TIMEOUT_US, () -> {
             lease.startTimeoutReached(loop.nowUs());
-            tellLease();
-            endStart();
+            updateLease();
+            finishStart();
         });
     }
 
     /** Goes over to another address of the list service. */
-    void move(InetSocketAddress to) {
+    void moveTo(InetSocketAddress to) {
         if (to.equals(discovery.address())) {
             return;
         }
         discovery.move(to);
         lease.serviceMoved(loop.nowUs());
-        tellLease();
+        updateLease();
     }
 
     /** An attempt may begin: what is known of the workers is not out of date. */
-    boolean mayBegin() {
+    boolean mayStartAttempt() {
         return lease.isValidAt(loop.nowUs());
     }
 
     /** How long attempts may still begin if the list service says nothing any more, in µs; 0 if they may not. */
-    long leaseLeftUs() {
+    long leaseRemainingUs() {
         return Math.max(0, lease.expiresAtUs() - loop.nowUs());
     }
 
     /** Tells the module until when attempts may begin, and notes when they may not any more. */
-    private void tellLease() {
+    private void updateLease() {
         long now = loop.nowUs();
         boolean permits = lease.isValidAt(now);
-        if (permits != permitted) {
-            permitted = permits;
+        if (permits != leaseValid) {
+            leaseValid = permits;
             invariants.count(permits ? "list lease renewed" : "list lease over");
-            events.event(() -> permits ? "list lease renewed: attempts may begin" : "list lease over: no attempt begins");
+            events.log(() -> permits ? "list lease renewed: attempts may begin" : "list lease over: no attempt begins");
         }
-        if (expiry != null) {
-            expiry.cancel();
+        if (expiryTimer != null) {
+            expiryTimer.cancel();
         }
         if (permits) {
-            expiry = loop.after(lease.expiresAtUs() - now, this::tellLease);
+            expiryTimer = loop.schedule(lease.expiresAtUs() - now, this::updateLease);
         }
         module.listLeaseChanged(now, lease.expiresAtUs());
     }
@@ -140,65 +140,65 @@
     @Override
     public void listed(ListUpdate update, boolean complete) {
         if (complete) {
-            confirmed();
+            renewLease();
         }
-        if (!ready) {
+        if (!started) {
             if (update.full()) {
-                held.subList(1, held.size()).clear(); // the list as last held tells which starts are news
+                pendingUpdates.subList(1, pendingUpdates.size()).clear(); // the list as last held tells which starts are news
             }
-            held.add(update);
+            pendingUpdates.add(update);
         } else {
-            tell(update);
+            applyUpdate(update);
         }
-        endStart();
+        finishStart();
     }
 
     @Override
     public void upToDate() {
-        confirmed();
-        endStart();
+        renewLease();
+        finishStart();
     }
 
-    private void confirmed() {
-        lease.confirmed(loop.unreadSinceUs());
-        tellLease();
+    private void renewLease() {
+        lease.confirmed(loop.earliestArrivalUs());
+        updateLease();
     }
 
     @Override
     public void listFailed(ListCallFailure failure, long startedUs) {
         invariants.count("list calls failed " + failure);
         lease.callFailed(failure, startedUs);
-        tellLease();
-        endStart();
+        updateLease();
+        finishStart();
         loop.post(() -> module.workerListFailed(loop.nowUs(), failure));
     }
 
     /** Passes on what was held back, where the start has come to its end. */
-    private void endStart() {
-        if (ready || lease.isPending()) {
+    private void finishStart() {
+        if (started || lease.isPending()) {
             return;
         }
-        ready = true;
+        started = true;
         if (lease.phase() == ListLease.Phase.CACHED) {
             invariants.count("starts by the list as last held");
-            Log.line(mayBegin() ? "the list service can't be reached: serving by the list as last held"
+            Log.line(mayStartAttempt() ? "the list service can't be reached: serving by the list as last held"
                 : "the list service does not answer: taking requests, but sending none to workers before it has");
         }
-        if (held.size() > 1 && held.get(1).full()) {
-            pass(held.remove(0)); // it only tells which of the whole list's starts are news
+        if (pendingUpdates.size() > 1 && pendingUpdates.get(1).full()) {
+            forwardUpdate(pendingUpdates.remove(0)); // it only tells which of the whole list's starts are news
         }
-        held.forEach(this::tell);
-        held.clear();
+        pendingUpdates.forEach(this::applyUpdate);
+        pendingUpdates.clear();
         onReady.run();
     }
 
-    private void tell(ListUpdate update) {
+    private void applyUpdate(ListUpdate update) {
         invariants.count("list updates");
-        events.event(() -> "list version " + update.version() + (update.full() ? ", whole, " : ", changes, ") + update.entries().size() + " entries");
-        pass(update);
+        events.log(() -> "list version " + update.version() + (update.full() ? ", whole, " : ", changes, ") + update.entries().size() + " entries");
+        forwardUpdate(update);
     }
 
-    private void pass(ListUpdate update) {
+    private void forwardUpdate(ListUpdate update) {
         List<Contract.Worker> workers = new ArrayList<>();
         Set<Integer> named = new HashSet<>();
         for (ListUpdate.Entry entry : update.entries()) {
--- a/node/src/main/java/hookweir/net/MessageReader.java
+++ b/node/src/main/java/hookweir/net/MessageReader.java
@@ -10,16 +10,16 @@
  */
 public abstract class MessageReader {
     private static final byte[] EMPTY = new byte[0];
-    private static final int LINE_BYTES = 256;
-    private static final int MOST_KEPT = 512;
-    private static final int MOST_CHUNK_LINE = 256;
-    private static final int MOST_CHUNK_DIGITS = 8;
+    private static final int INITIAL_LINE_BYTES = 256;
+    private static final int MAX_RETAINED_LINE_BYTES = 512;
+    private static final int MAX_CHUNK_LINE_BYTES = 256;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
     private static final int HEX = 16;
     /** 400, the fault of what is framed in no way or in two. */
-    protected static final int BAD = 400;
-    private static final int HEAD_TOO_LONG = 431;
+    protected static final int BAD_REQUEST = 400;
+    private static final int HEADER_FIELDS_TOO_LARGE = 431;
 
-    private enum Part { START_LINE, HEADERS, BODY, TO_THE_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
+    private enum Part { START_LINE, HEADERS, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
 
     private final boolean strict;
     /** The present line, up to {@link #lineEnd}. */
@@ -28,9 +28,9 @@
     private Part part = Part.START_LINE;
     private boolean afterCr;
     private int headBytes;
-    private long left;
+    private long remaining;
     private int fault;
-    private boolean whole;
+    private boolean isComplete;
 
     /** A strict reader takes only what any two readers frame alike; another one takes bare line feeds too. */
     protected MessageReader(boolean strict) {
@@ -38,25 +38,25 @@
     }
 
     /** The first line has come, other than an empty one before it. */
-    protected abstract void startLine();
+    protected abstract void onStartLine();
 
     /** A header of the head or, where trailer is set, of the trailers: its name ends at nameEnd, its value is [from, to). */
-    protected abstract void header(int nameEnd, int from, int to, boolean trailer);
+    protected abstract void onHeader(int nameEnd, int from, int to, boolean trailer);
 
-    /** The head is whole: calls one of {@link #bodyOf}, {@link #bodyInChunks} and {@link #bodyToTheEnd}, or {@link #fail}. */
-    protected abstract void headEnded();
+    /** The head is whole: calls one of {@link #expectBody}, {@link #expectChunkedBody} and {@link #expectBodyUntilClose}, or {@link #fail}. */
+    protected abstract void onHeadEnd();
 
     /** A chunk of so many bytes comes next; a subclass may {@link #fail}. */
-    protected abstract void chunkBegins(long bytes);
+    protected abstract void onChunkStart(long bytes);
 
     /** Some of the body. */
-    protected abstract void body(byte[] from, int at, int n);
+    protected abstract void onBody(byte[] from, int at, int n);
 
     /** The message is whole. */
-    protected abstract void ended();
+    protected abstract void onMessageEnd();
 
     /** Reading stops before the next byte of a body, for as long as this is so. */
-    protected boolean waits() {
+    protected boolean isPaused() {
         return false;
     }
 
@@ -66,29 +66,29 @@
      * @return the place behind the last byte read
      */
     public final int feed(byte[] in, int from, int to) {
-        whole = false;
+        isComplete = false;
         int at = from;
-        while (at < to && fault == 0 && !whole && !waits()) {
-            if (part == Part.BODY || part == Part.CHUNK || part == Part.TO_THE_END) {
-                int n = part == Part.TO_THE_END ? to - at : (int) Math.min(left, to - at);
-                body(in, at, n);
+        while (at < to && fault == 0 && !isComplete && !isPaused()) {
+            if (part == Part.BODY || part == Part.CHUNK || part == Part.UNTIL_CLOSE) {
+                int n = part == Part.UNTIL_CLOSE ? to - at : (int) Math.min(remaining, to - at);
+                onBody(in, at, n);
                 at += n;
-                left -= n;
-                if (left == 0 && part == Part.BODY) {
-                    end();
-                } else if (left == 0 && part == Part.CHUNK) {
+                remaining -= n;
+                if (remaining == 0 && part == Part.BODY) {
+                    endMessage();
+                } else if (remaining == 0 && part == Part.CHUNK) {
                     part = Part.CHUNK_END;
                 }
             } else {
-                take(in[at++]);
+                readLineByte(in[at++]);
             }
         }
         return at;
     }
 
     /** The last {@link #feed} ended behind a message. */
-    public final boolean whole() {
-        return whole;
+    public final boolean isComplete() {
+        return isComplete;
     }
 
     /** The status that the bytes read so far deserve; 0 while they are well-formed. */
@@ -97,7 +97,7 @@
     }
 
     /** Some of a message has come, and not all. */
-    public final boolean inside() {
+    public final boolean isMidMessage() {
         return part != Part.START_LINE || afterCr || lineEnd > 0;
     }
 
@@ -107,24 +107,24 @@
     }
 
     /** A body of so many bytes follows; 0 for none. */
-    protected final void bodyOf(long bytes) {
-        left = bytes;
+    protected final void expectBody(long bytes) {
+        remaining = bytes;
         if (bytes > 0) {
             part = Part.BODY;
         } else {
-            end();
+            endMessage();
         }
     }
 
     /** A body in chunks follows. */
-    protected final void bodyInChunks() {
+    protected final void expectChunkedBody() {
         part = Part.CHUNK_SIZE;
     }
 
     /** A body follows that ends with its connection. */
-    protected final void bodyToTheEnd() {
-        left = Long.MAX_VALUE;
-        part = Part.TO_THE_END;
+    protected final void expectBodyUntilClose() {
+        remaining = Long.MAX_VALUE;
+        part = Part.UNTIL_CLOSE;
     }
 
     /** The present line from one place to another, as text. */
@@ -133,7 +133,7 @@
     }
 
     /** The present line holds this lower-case text there, in any case. */
-    protected final boolean is(String lower, int from, int to) {
+    protected final boolean lineEquals(String lower, int from, int to) {
         if (to - from != lower.length()) {
             return false;
         }
@@ -147,12 +147,12 @@
     }
 
     /** The present line begins with this lower-case text, in any case. */
-    protected final boolean starts(String lower, int to) {
-        return to >= lower.length() && is(lower, 0, lower.length());
+    protected final boolean lineStartsWith(String lower, int to) {
+        return to >= lower.length() && lineEquals(lower, 0, lower.length());
     }
 
     /** A whole number of plain digits there; -1 where it is none of up to 18. */
-    protected final long digits(int from, int to) {
+    protected final long parseDigits(int from, int to) {
         if (to <= from || to - from > 18) {
             return -1;
         }
@@ -167,63 +167,63 @@
     }
 
     /** A character of a token (RFC 9110 5.6.2). */
-    protected static boolean isToken(byte b) {
+    protected static boolean isTokenChar(byte b) {
         return b >= '0' && b <= '9' || b >= 'A' && b <= 'Z' || b >= 'a' && b <= 'z' || b > ' ' && "!#$%&'*+-.^_`|~".indexOf(b) >= 0;
     }
 
-    private void take(byte b) {
-        if (++headBytes > Transport.MOST_HEADER_BYTES) {
-            fault = HEAD_TOO_LONG;
+    private void readLineByte(byte b) {
+        if (++headBytes > Transport.MAX_HEADER_BYTES) {
+            fault = HEADER_FIELDS_TOO_LARGE;
         } else if (strict && (afterCr ? b != '\n' : b == '\n' || b < ' ' && b != '\t' && b != '\r' || b == 0x7f)) {
             // A bare CR or LF ends a line for some readers only; other such bytes stand in no head.
-            fault = BAD;
+            fault = BAD_REQUEST;
         } else if (b == '\r') {
             afterCr = true;
         } else if (b == '\n') {
             afterCr = false;
-            lineEnded();
+            onLineEnd();
             lineEnd = 0;
         } else if (part == Part.CHUNK_END) {
-            fault = BAD; // the chunk is longer than it said
+            fault = BAD_REQUEST; // the chunk is longer than it said
         } else {
             if (lineEnd == line.length) {
-                line = Arrays.copyOf(line, Math.max(LINE_BYTES, 2 * lineEnd));
+                line = Arrays.copyOf(line, Math.max(INITIAL_LINE_BYTES, 2 * lineEnd));
             }
             line[lineEnd++] = b;
         }
     }
 
-    private void lineEnded() {
+    private void onLineEnd() {
         switch (part) {
             case START_LINE -> {
                 if (lineEnd > 0) {
                     part = Part.HEADERS;
-                    startLine();
+                    onStartLine();
                 } else if (strict) {
-                    fault = BAD;
+                    fault = BAD_REQUEST;
                 }
             }
             case HEADERS, TRAILERS -> {
                 if (lineEnd > 0) {
-                    split(part == Part.TRAILERS);
+                    parseHeader(part == Part.TRAILERS);
                 } else if (part == Part.TRAILERS) {
-                    end();
+                    endMessage();
                 } else {
-                    headEnded();
+                    onHeadEnd();
                 }
             }
-            case CHUNK_SIZE -> chunkSize();
+            case CHUNK_SIZE -> parseChunkSize();
             default -> part = Part.CHUNK_SIZE; // the empty line behind a chunk
         }
     }
 
-    private void split(boolean trailer) {
+    private void parseHeader(boolean trailer) {
         int nameEnd = 0;
-        while (nameEnd < lineEnd && isToken(line[nameEnd])) {
+        while (nameEnd < lineEnd && isTokenChar(line[nameEnd])) {
             nameEnd++;
         }
         if (nameEnd == 0 || nameEnd == lineEnd || line[nameEnd] != ':') {
-            fault = BAD; // a folded line, a space before the colon, or no header at all
+            fault = BAD_REQUEST; // a folded line, a space before the colon, or no header at all
             return;
         }
         int from = nameEnd + 1;
@@ -234,10 +234,10 @@
         while (to > from && (line[to - 1] == ' ' || line[to - 1] == '\t')) {
             to--;
         }
-        header(nameEnd, from, to, trailer);
+        onHeader(nameEnd, from, to, trailer);
     }
 
-    private void chunkSize() {
+    private void parseChunkSize() {
         long size = 0;
         int i = 0;
         for (; i < lineEnd && Character.digit(line[i], HEX) >= 0; i++) {
@@ -247,26 +247,26 @@
         while (i < lineEnd && (line[i] == ' ' || line[i] == '\t')) {
             i++;
         }
-        if (digits == 0 || digits > MOST_CHUNK_DIGITS || i < lineEnd && line[i] != ';' || strict && i > digits && i == lineEnd
-                || lineEnd > MOST_CHUNK_LINE) {
-            fault = BAD;
+        if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || i < lineEnd && line[i] != ';' || strict && i > digits && i == lineEnd
+                || lineEnd > MAX_CHUNK_LINE_BYTES) {
+            fault = BAD_REQUEST;
             return;
         }
         headBytes = 0;
-        left = size;
+        remaining = size;
         part = size > 0 ? Part.CHUNK : Part.TRAILERS;
         if (size > 0) {
-            chunkBegins(size);
+            onChunkStart(size);
         }
     }
 
-    private void end() {
-        whole = true;
+    private void endMessage() {
+        isComplete = true;
         part = Part.START_LINE;
         headBytes = 0;
-        if (line.length > MOST_KEPT) {
+        if (line.length > MAX_RETAINED_LINE_BYTES) {
             line = EMPTY; // what one long line took is not kept for as long as the connection
         }
-        ended();
+        onMessageEnd();
     }
 }
--- a/node/src/main/java/hookweir/net/Node.java
+++ b/node/src/main/java/hookweir/net/Node.java
@@ -15,7 +15,7 @@
 /** One scheduler: puts the transport, the loop and the host together, and ends them in order. */
 public final class Node {
     /** The status of a process that an error ended, as the JVM's own for a lack of memory. */
-    static final int DIED = 3;
+    static final int EXIT_FATAL_ERROR = 3;
 
     /** The last one taken over. Guarded by this once serving. */
     private Config config;
@@ -57,13 +57,13 @@
     }
 
     /** To be called before the configuration is read: a SIGHUP from now on is heeded once the scheduler serves. */
-    public static void expectReloads() {
-        HangUp.expect();
+    public static void installReloadSignalHandler() {
+        SighupHandler.install();
     }
 
     /** Serves until SIGTERM and all that is held then is finished; the exit status. */
     public int serve() throws IOException {
-        loop.onDeath(Node::die);
+        loop.onFatalError(Node::exitOnFatalError);
         int port;
         try {
             port = start();
@@ -74,7 +74,7 @@
         var settings = config.settings().policySettings;
         Log.line(config.name() + " serves on port " + port + ", scheduler " + settings.schedulerIndex + " of " + settings.schedulerCount
             + " in zone " + settings.zone);
-        HangUp.heed(() -> reload(System.getenv()));
+        SighupHandler.onSignal(() -> reload(System.getenv()));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             drain();
             awaitEnd();
@@ -84,11 +84,11 @@
     }
 
     /** Nothing of this state can be trusted: says so, and ends without the hooks that would. */
-    private static void die(Error e) {
+    private static void exitOnFatalError(Error e) {
         try {
-            Log.line("hookweir: the loop ended by " + e + ", leaving at once with status " + DIED);
+            Log.line("hookweir: the loop ended by " + e + ", leaving at once with status " + EXIT_FATAL_ERROR);
         } finally {
-            Runtime.getRuntime().halt(DIED);
+            Runtime.getRuntime().halt(EXIT_FATAL_ERROR);
         }
     }
 
@@ -96,12 +96,12 @@
     public int start() throws IOException {
         transport.start();
         if (config.adminAddress() != null) {
-            adminPort = bound("admin_addr", config.adminAddress(), () -> new AdminListener(loop, transport, invariants, standing, figures,
-                () -> loop.post(host::turned)).listen(config.adminAddress()));
+            adminPort = bindOrExplain("admin_addr", config.adminAddress(), () -> new AdminListener(loop, transport, invariants, standing, figures,
+                () -> loop.post(host::quiesceChanged)).listen(config.adminAddress()));
         }
         // Seeded before any request can be read, as this is posted first.
         loop.post(() -> host.start(config));
-        int port = bound(config.inheritsListenSocket() ? "RELAY_FD" : "listen", config.listenAddress(), () -> host.listen(config));
+        int port = bindOrExplain(config.inheritsListenSocket() ? "RELAY_FD" : "listen", config.listenAddress(), () -> host.listen(config));
         return port;
     }
 
@@ -114,7 +114,7 @@
         int bind() throws IOException;
     }
 
-    private static int bound(String key, InetSocketAddress at, Binding binding) throws IOException {
+    private static int bindOrExplain(String key, InetSocketAddress at, Binding binding) throws IOException {
         try {
             return binding.bind();
         } catch (IOException e) {
@@ -129,7 +129,7 @@
         } finally {
             // Also where an error ended the loop: the shutdown hook must not wait for ever.
             ended.countDown();
-            host.end();
+            host.close();
             transport.stop();
         }
     }
@@ -145,8 +145,8 @@
     }
 
     /** Runs the task on the loop once a whole round of I/O has read what is there by now. */
-    void afterRound(Runnable task) {
-        loop.post(() -> loop.afterRound(task));
+    void afterIoRound(Runnable task) {
+        loop.post(() -> loop.afterIoRound(task));
     }
 
     /** Ends at once, whatever is held. */
--- a/node/src/main/java/hookweir/net/Link.java
+++ b/node/src/main/java/hookweir/net/OutboundConnection.java
@@ -15,35 +15,35 @@
  * One outgoing connection, which carries one call at a time. Its state belongs to the {@link Loop}; its
  * handler is called there only. Nothing here sends a call twice.
  */
-public final class Link {
+public final class OutboundConnection {
     /** What becomes of a dial or a call. */
     public interface Handler {
         /** Asked after a wait for a link, before one is used or dialled; where it is false nothing follows. */
-        default boolean wantsLink() {
+        default boolean needsConnection() {
             return true;
         }
 
         /** The dial succeeded; nothing has been sent. */
-        default void up(Link link) {
+        default void connected(OutboundConnection link) {
         }
 
         /** The last byte of the call is with the kernel. */
-        default void written(Link link) {
+        default void requestWritten(OutboundConnection link) {
         }
 
-        /** An answer came while no call was out; {@link #down} follows. */
-        default void unasked(Link link, int status) {
+        /** An answer came while no call was out; {@link #disconnected} follows. */
+        default void unexpectedResponse(OutboundConnection link, int status) {
         }
 
         /** No link came free in time; there was none to dial by. Nothing follows. */
-        default void noLink() {
+        default void connectionUnavailable() {
         }
 
         /** A piece of the answer; the last one ends it. */
-        void piece(Link link, Piece piece);
+        void responsePart(OutboundConnection link, ResponsePart piece);
 
         /** The connection failed to come up, broke or was ended by the peer. Nothing follows. */
-        void down(Link link);
+        void disconnected(OutboundConnection link);
     }
 
     /**
@@ -54,105 +54,105 @@
      * @param load the load report in the header, or null
      * @param keepAlive the connection may carry another call
      * @param bytes so much of the body
-     * @param last the answer is whole
+     * @param isLast the answer is whole
      */
-    public record Piece(int status, boolean declined, String load, boolean keepAlive, byte[] bytes, boolean last) {
+    public record ResponsePart(int status, boolean declined, String load, boolean keepAlive, byte[] bytes, boolean isLast) {
     }
 
     /** A call that was told that its job is taken by an answer that may have been another call's. */
-    public interface Taken {
+    public interface AcceptanceListener {
         /** It showed that answers were mixed up. */
-        void inDoubt();
+        void acceptanceInDoubt();
     }
 
     /** How far its life has come; it only ever goes on. */
     private enum Phase {
-        DIALLING,
+        CONNECTING,
         /** Calls are made, or it rests. */
-        UP,
+        OPEN,
         /** Its output is shut, nobody hears of it any more, and what comes is dropped until the peer's end or a bound. */
         LINGERING,
-        DOWN
+        CLOSED
     }
 
     private final Loop loop;
     private final Transport transport;
-    private final AnswerReader reader = new AnswerReader();
-    private final TimerWheel.Timer dialLimit;
+    private final ResponseReader reader = new ResponseReader();
+    private final TimerWheel.Timer connectTimer;
     private Handler handler;
     private Connection<?> connection;
-    private Phase phase = Phase.DIALLING;
-    private boolean calling;
+    private Phase phase = Phase.CONNECTING;
+    private boolean awaitingResponse;
     private boolean writing;
     private boolean broken;
     /** Pieces of the answer that were told before the write's end, for the same reason. */
-    private final Deque<Runnable> early = new ArrayDeque<>();
-    private Piece unframed;
+    private final Deque<Runnable> partsBeforeWriteEnd = new ArrayDeque<>();
+    private ResponsePart unframedPart;
 
-    private Future<?> dial = new CompletableFuture<>();
-    private TimerWheel.Timer linger;
+    private Future<?> connectFuture = new CompletableFuture<>();
+    private TimerWheel.Timer lingerTimer;
     private Runnable onClosed;
-    private Taken taken;
+    private AcceptanceListener acceptanceListener;
 
     /** Set by its pool when it was last put aside. */
     public long idleSinceUs;
     /** Set by its pool: it rests until then where that is affordable, as a second answer may be on the way. */
-    public long settledUs;
+    public long reuseAfterUs;
     /** Set by its pool: until then an answer may be the second one to an earlier call. */
-    public long secondAnswerUntilUs;
+    public long duplicateResponseUntilUs;
     /** Set by its pool: a call waits for it to settle. */
     public boolean reserved;
     /** Set by its pool: it carried a call before the present one. */
-    public boolean kept;
+    public boolean reused;
 
-    Link(Loop loop, Transport transport, long dialLimitUs, Handler handler) {
+    OutboundConnection(Loop loop, Transport transport, long dialLimitUs, Handler handler) {
         this.loop = loop;
         this.transport = transport;
         this.handler = handler;
-        dialLimit = loop.after(dialLimitUs, this::dialLate);
+        connectTimer = loop.schedule(dialLimitUs, this::connectTimedOut);
     }
 
     /** How its dial is called off, so that its descriptor is given back. */
-    void dialled(Future<?> newDial) {
-        dial = newDial;
+    void setConnectFuture(Future<?> newDial) {
+        connectFuture = newDial;
     }
 
     /** Guards against a machine that vanished: its connections never come up, and nobody says so. */
-    private void dialLate() {
-        if (phase == Phase.DIALLING) {
-            fallDown();
+    private void connectTimedOut() {
+        if (phase == Phase.CONNECTING) {
+            handleDisconnect();
         }
     }
 
     /** From the selector: the dial succeeded. */
     void connected(Connection<?> c) {
         loop.post(() -> {
-            if (phase != Phase.DIALLING) {
+            if (phase != Phase.CONNECTING) {
                 c.closeSilently(); // it came up late, as its dial was called off
                 return;
             }
             connection = c;
-            phase = Phase.UP;
-            dialLimit.cancel();
+            phase = Phase.OPEN;
+            connectTimer.cancel();
             // What lies unread is heard before anything is sent: a client may have left, or a worker been announced as leaving.
-            loop.afterRound(this::tellUp);
+            loop.afterIoRound(this::notifyConnected);
         });
     }
 
-    private void tellUp() {
-        if (phase == Phase.UP) {
-            handler.up(this);
+    private void notifyConnected() {
+        if (phase == Phase.OPEN) {
+            handler.connected(this);
         }
     }
 
     /** From the selector: the dial failed or the connection ended. */
-    void ended() {
-        loop.post(this::fallDown);
+    void connectionEnded() {
+        loop.post(this::handleDisconnect);
     }
 
-    private void fallDown() {
+    private void handleDisconnect() {
         if (isEnded()) {
-            enterDown();
+            enterClosed();
             return;
         }
         if (writing) {
@@ -162,12 +162,12 @@
             return;
         }
         close();
-        if (unframed != null) {
+        if (unframedPart != null) {
             // An answer without a length ends with its connection.
-            Piece head = unframed;
-            handler.piece(this, new Piece(head.status, head.declined, head.load, false, new byte[0], true));
+            ResponsePart head = unframedPart;
+            handler.responsePart(this, new ResponsePart(head.status, head.declined, head.load, false, new byte[0], true));
         }
-        handler.down(this);
+        handler.disconnected(this);
     }
 
     /** From the selector: so many bytes came; false where they make no answer. */
@@ -178,65 +178,65 @@
             if (reader.fault() != 0) {
                 return false;
             }
-            Piece piece = reader.piece();
+            ResponsePart piece = reader.takePart();
             if (piece != null) {
                 boolean framed = reader.framed();
                 if (writing) {
-                    early.add(() -> take(piece, framed));
+                    partsBeforeWriteEnd.add(() -> handlePart(piece, framed));
                 } else {
-                    take(piece, framed);
+                    handlePart(piece, framed);
                 }
             }
         }
         return true;
     }
 
-    private void take(Piece piece, boolean framed) {
+    private void handlePart(ResponsePart piece, boolean framed) {
         if (isEnded()) {
             return;
         }
-        if (!calling) {
+        if (!awaitingResponse) {
             // An answer that nobody asked for: the next call's answer could not be told from it.
-            handler.unasked(this, piece.status);
-            fallDown();
+            handler.unexpectedResponse(this, piece.status);
+            handleDisconnect();
             return;
         }
-        unframed = framed ? null : piece;
-        calling = !piece.last;
-        handler.piece(this, piece);
+        unframedPart = framed ? null : piece;
+        awaitingResponse = !piece.isLast;
+        handler.responsePart(this, piece);
     }
 
-    /** Starts a call: a head as {@link #head} began it, which is ended here, and a body. */
-    public void call(Message head, byte[] body, Handler newHandler) {
+    /** Starts a call: a head as {@link #requestHead} began it, which is ended here, and a body. */
+    public void sendRequest(MessageBuilder head, byte[] body, Handler newHandler) {
         handler = newHandler;
-        calling = true;
+        awaitingResponse = true;
         writing = true;
-        unframed = null;
+        unframedPart = null;
         @SuppressWarnings("unchecked")
         Connection<SocketAddress> c = (Connection<SocketAddress>) connection;
-        c.write(transport.pooled(head.line(), body), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
+        c.write(transport.pooledCopy(head.endLine(), body), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
             @Override
             public void completed(WriteResult<Buffer, SocketAddress> result) {
-                loop.post(() -> wrote(true));
+                loop.post(() -> writeEnded(true));
             }
 
             @Override
             public void failed(Throwable t) {
-                loop.post(() -> wrote(false));
+                loop.post(() -> writeEnded(false));
             }
         });
     }
 
-    private void wrote(boolean whole) {
+    private void writeEnded(boolean whole) {
         writing = false;
-        if (!isEnded() && calling && whole) {
-            handler.written(this);
+        if (!isEnded() && awaitingResponse && whole) {
+            handler.requestWritten(this);
         }
-        for (Runnable piece = early.poll(); piece != null; piece = early.poll()) {
+        for (Runnable piece = partsBeforeWriteEnd.poll(); piece != null; piece = partsBeforeWriteEnd.poll()) {
             piece.run();
         }
         if (broken || !whole) {
-            fallDown();
+            handleDisconnect();
         }
     }
 
@@ -245,9 +245,9 @@
      * later, to the last byte, would be an attempt that was given up.
      */
     public void close() {
-        enterDown();
-        dialLimit.cancel();
-        dial.cancel(false);
+        enterClosed();
+        connectTimer.cancel();
+        connectFuture.cancel(false);
         if (connection != null && writing) {
             connection.terminateSilently();
         } else if (connection != null) {
@@ -261,66 +261,66 @@
      *
      * @param closed runs once it is closed
      */
-    public void end(Runnable closed) {
-        if (phase != Phase.UP || writing || !HalfClose.shutOutput(connection)) {
+    public void closeGracefully(Runnable closed) {
+        if (phase != Phase.OPEN || writing || !HalfClose.shutdownOutput(connection)) {
             close();
             closed.run();
             return;
         }
         phase = Phase.LINGERING;
         onClosed = closed;
-        linger = loop.after(HalfClose.LINGER_US, connection::closeSilently);
+        lingerTimer = loop.schedule(HalfClose.LINGER_US, connection::closeSilently);
     }
 
     /** An answer that came was none to its call, whose own is yet to come. */
-    public void goesOn() {
-        calling = true;
+    public void expectAnotherResponse() {
+        awaitingResponse = true;
     }
 
     /** The last call whose 202 may have been another's; null where there is none or its job is over. */
-    public Taken taken() {
-        return taken;
+    public AcceptanceListener acceptanceListener() {
+        return acceptanceListener;
     }
 
     /** Sets or, by null, clears the last call whose 202 may have been another's. */
-    public void taken(Taken newTaken) {
-        taken = newTaken;
+    public void acceptanceListener(AcceptanceListener newTaken) {
+        acceptanceListener = newTaken;
     }
 
-    private void enterDown() {
+    private void enterClosed() {
         boolean lingered = phase == Phase.LINGERING;
-        phase = Phase.DOWN;
+        phase = Phase.CLOSED;
         if (lingered) {
-            linger.cancel();
+            lingerTimer.cancel();
             onClosed.run();
         }
     }
 
     private boolean isEnded() {
-        return phase == Phase.LINGERING || phase == Phase.DOWN;
+        return phase == Phase.LINGERING || phase == Phase.CLOSED;
     }
 
     /** It is up and carries no call. */
-    public boolean isFree() {
-        return phase == Phase.UP && !calling && connection.isOpen();
+    public boolean isIdle() {
+        return phase == Phase.OPEN && !awaitingResponse && connection.isOpen();
     }
 
     /** A pool takes it back: only its end matters now. */
-    public void rest(Handler newHandler) {
+    public void setIdleHandler(Handler newHandler) {
         handler = newHandler;
     }
 
     /** An address as a Host header has it. */
-    public static String host(java.net.InetSocketAddress to) {
+    public static String hostHeader(java.net.InetSocketAddress to) {
         return to.getAddress().getHostAddress() + ":" + to.getPort();
     }
 
     /** The head of a call, but for its end. */
-    public Message head(String method, String path, String query, String host) {
-        Message m = transport.message().add(method).add(" ").add(path);
+    public MessageBuilder requestHead(String method, String path, String query, String host) {
+        MessageBuilder m = transport.beginMessage().add(method).add(" ").add(path);
         if (query != null) {
             m.add("?").add(query);
         }
-        return m.add(" HTTP/1.1").line().header("Host", host);
+        return m.add(" HTTP/1.1").endLine().header("Host", host);
     }
 }
--- a/node/src/main/java/hookweir/net/PendingRequest.java
+++ b/node/src/main/java/hookweir/net/PendingRequest.java
@@ -9,34 +9,34 @@
 
 /**
  * One request from a client until its final answer is given and its last attempt is over. Owned by
- * {@link HeldRequests}, on the loop.
+ * {@link PendingRequests}, on the loop.
  */
 final class PendingRequest {
     final Contract.Request request;
-    final IngressRequest from;
+    final IngressRequest httpRequest;
     final IngressConnection client;
     /** In order of their numbers. */
     final List<Attempt> attempts = new ArrayList<>();
     /** The final answer was given, or nobody waits for one any more. */
     boolean closed;
     /** The module's own against its being forgotten. */
-    TimerWheel.Timer guard;
+    TimerWheel.Timer requestTimer;
 
     PendingRequest(Contract.Request request, IngressRequest from, IngressConnection client) {
         this.request = request;
-        this.from = from;
+        this.httpRequest = from;
         this.client = client;
     }
 
     /** The id that its client gave it. */
     String clientId() {
-        return from.headers().id();
+        return httpRequest.headers().id();
     }
 
     /** The attempt that is still out, or null. */
-    Attempt out() {
+    Attempt outstandingAttempt() {
         for (Attempt attempt : attempts) {
-            if (!attempt.over()) {
+            if (!attempt.isEnded()) {
                 return attempt;
             }
         }
--- a/node/src/main/java/hookweir/net/HeldRequests.java
+++ b/node/src/main/java/hookweir/net/PendingRequests.java
@@ -12,25 +12,25 @@
  * The requests held, from their acceptance until each has its final answer and no attempt is out. The one place that gives
  * final answers and forgets requests. Belongs to the {@link Loop}.
  */
-final class HeldRequests {
+final class PendingRequests {
     private static final byte[] NO_BODY = new byte[0];
     private static final int MAX_RECENT_IDS = 4096;
 
     private final Invariants invariants;
     private final Figures figures;
     private final ActiveSettings active;
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final Ingress ingress;
     private final Map<Integer, PendingRequest> byNumber = new HashMap<>();
     private final Map<String, PendingRequest> byClientId = new HashMap<>();
     /** Clients' ids of the last requests, held or not. */
-    private final Set<String> recentIds = Recent.last(MAX_RECENT_IDS);
+    private final Set<String> recentIds = BoundedSets.evictingOldest(MAX_RECENT_IDS);
 
-    HeldRequests(Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress) {
+    PendingRequests(Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress) {
         this.invariants = invariants;
         this.figures = figures;
         this.active = active;
-        this.room = room;
+        this.budget = room;
         this.ingress = ingress;
     }
 
@@ -57,11 +57,11 @@
     /** Holds a request. */
     void add(PendingRequest request) {
         byNumber.put(request.request.id, request);
-        byClientId.put(request.from.headers().id(), request);
+        byClientId.put(request.httpRequest.headers().id(), request);
     }
 
     /** Gives the final answer, unless there was one or its client left. */
-    void answer(PendingRequest request, int status, String retryAfter, byte[] body) {
+    void respond(PendingRequest request, int status, String retryAfter, byte[] body) {
         if (request.closed) {
             return;
         }
@@ -72,20 +72,20 @@
     }
 
     /** Refuses a request: its client may try again, best after so long. */
-    void refuse(PendingRequest request, long retryAfterUs) {
-        answer(request, HttpStatus.TOO_MANY_REQUESTS, seconds(retryAfterUs), NO_BODY);
-        settle(request);
+    void reject(PendingRequest request, long retryAfterUs) {
+        respond(request, HttpStatus.TOO_MANY_REQUESTS, retryAfterSeconds(retryAfterUs), NO_BODY);
+        removeIfFinished(request);
     }
 
     /** Forgets a request that has its final answer and no attempt out. */
-    void settle(PendingRequest request) {
-        if (request.closed && request.out() == null && byNumber.remove(request.request.id, request)) {
-            byClientId.remove(request.from.headers().id(), request);
-            if (request.guard != null) {
-                request.guard.cancel();
+    void removeIfFinished(PendingRequest request) {
+        if (request.closed && request.outstandingAttempt() == null && byNumber.remove(request.request.id, request)) {
+            byClientId.remove(request.httpRequest.headers().id(), request);
+            if (request.requestTimer != null) {
+                request.requestTimer.cancel();
             }
-            room.releaseJob();
-            ingress.release(request.from);
+            budget.releaseJob();
+            ingress.release(request.httpRequest);
         }
     }
 
@@ -100,12 +100,12 @@
     }
 
     /** How many of those held have their final answer. */
-    long answered() {
+    long respondedCount() {
         return byNumber.values().stream().filter(request -> request.closed).count();
     }
 
     /** A Retry-After header's value, or null for none. */
-    static String seconds(long us) {
+    static String retryAfterSeconds(long us) {
         return us <= 0 ? null : String.format(Locale.ROOT, "%.3f", us / 1e6);
     }
 }
--- a/node/src/main/java/hookweir/net/Prober.java
+++ b/node/src/main/java/hookweir/net/Prober.java
@@ -31,10 +31,10 @@
         }
         invariants.count("probes");
         String path = active.settings().loadReportSource == Contract.LoadReportSource.NONE ? "/healthz" : "/load";
-        new Errand(loop, egress, invariants, active.probeLimitUs(), worker, "GET", path, Egress.SETTLED) {
+        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), worker, "GET", path, Egress.SETTLED) {
             @Override
-            void onEnd(Outcome outcome, Link.Piece last, byte[] body) {
-                Report report = last == null ? null : report(last, body);
+            void onEnd(Outcome outcome, OutboundConnection.ResponsePart last, byte[] body) {
+                Report report = last == null ? null : parseLoadReport(last, body);
                 long elapsedUs = loop.nowUs() - startUs;
                 loop.post(() -> module.probeEnded(loop.nowUs(), workerId, outcome, elapsedUs, report));
             }
@@ -42,7 +42,7 @@
     }
 
     /** The load report in an answer's header or body, or null. */
-    private Report report(Link.Piece last, byte[] body) {
+    private Report parseLoadReport(OutboundConnection.ResponsePart last, byte[] body) {
         return last.load() != null ? active.loadReport().ofPairs(last.load()) : active.loadReport().ofBody(body);
     }
 }
--- a/node/src/main/java/hookweir/net/ProcessShare.java
+++ b/node/src/main/java/hookweir/net/ProcessResources.java
@@ -10,47 +10,47 @@
  * This process's share of descriptors and memory: all processes of a scheduler share one machine. Belongs to the
  * {@link Loop}.
  */
-final class ProcessShare {
+final class ProcessResources {
     /** Beside clients and links: the JVM's own, operators', discovery's, those that linger, and those let in or ended in a round. */
-    private static final int MIN_OWN_DESCRIPTORS = 80;
+    private static final int MIN_RESERVED_DESCRIPTORS = 80;
     /** Of all descriptors, at least: the more there are, the more connections a crowd has ended that are not given back yet. */
-    private static final int OWN_SHARE = 6;
+    private static final int RESERVED_DIVISOR = 6;
     /** The same for one of several processes, which serve side by side for a short while only. */
-    private static final int OWN_DESCRIPTORS_OF_SEVERAL = 48;
+    private static final int RESERVED_DESCRIPTORS_WITH_PEERS = 48;
     private static final int MIN_DESCRIPTORS = 16;
 
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final Egress egress;
     private final Ingress ingress;
     private final Succession succession;
-    private final int descriptors;
-    private long heldBytes;
-    private int heldJobs;
+    private final int maxDescriptors;
+    private long maxHeldBytes;
+    private int maxHeldJobs;
 
-    ProcessShare(Config config, ResourceBudget room, Egress egress, Ingress ingress, Succession succession) {
-        this.room = room;
+    ProcessResources(Config config, ResourceBudget room, Egress egress, Ingress ingress, Succession succession) {
+        this.budget = room;
         this.egress = egress;
         this.ingress = ingress;
         this.succession = succession;
-        descriptors = config.maxDescriptors();
-        limits(config);
+        maxDescriptors = config.maxDescriptors();
+        setLimits(config);
     }
 
     /** Takes over the limits of a configuration; an update is to follow. */
-    void limits(Config config) {
-        heldBytes = config.maxHeldBytes();
-        heldJobs = config.maxHeldJobs();
+    void setLimits(Config config) {
+        maxHeldBytes = config.maxHeldBytes();
+        maxHeldJobs = config.maxHeldJobs();
     }
 
-    private int ownDescriptors(int processes) {
-        return processes > 1 ? OWN_DESCRIPTORS_OF_SEVERAL : Math.max(MIN_OWN_DESCRIPTORS, descriptors / OWN_SHARE);
+    private int reservedDescriptors(int processes) {
+        return processes > 1 ? RESERVED_DESCRIPTORS_WITH_PEERS : Math.max(MIN_RESERVED_DESCRIPTORS, maxDescriptors / RESERVED_DIVISOR);
     }
 
     /** Divides the limits by the number of processes, and keeps within them. */
     void update() {
         int processes = 1 + succession.neighbours();
-        room.setLimits(heldBytes / processes, heldJobs / processes);
-        room.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, descriptors / processes - ownDescriptors(processes)));
+        budget.setLimits(maxHeldBytes / processes, maxHeldJobs / processes);
+        budget.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, maxDescriptors / processes - reservedDescriptors(processes)));
         egress.fit();
         ingress.fit();
     }
--- a/node/src/main/java/hookweir/net/RequestRouter.java
+++ b/node/src/main/java/hookweir/net/RequestRouter.java
@@ -18,17 +18,17 @@
     private final ActiveSettings active;
     private final Ingress ingress;
     private final CallbackReceiver callbacks;
-    private final JobIntake intake;
+    private final JobAdmission admission;
 
     RequestRouter(Invariants invariants, Standing standing, Figures figures, ActiveSettings active, Ingress ingress,
-            CallbackReceiver callbacks, JobIntake intake) {
+            CallbackReceiver callbacks, JobAdmission intake) {
         this.invariants = invariants;
         this.standing = standing;
         this.figures = figures;
         this.active = active;
         this.ingress = ingress;
         this.callbacks = callbacks;
-        this.intake = intake;
+        this.admission = intake;
     }
 
     @Override
@@ -43,14 +43,14 @@
         if (request.path().equals("/callback")) {
             callback(from, request);
         } else if (request.path().equals("/healthz")) {
-            ingress.answer(from, standing.wantsClients() ? HttpStatus.OK : HttpStatus.UNAVAILABLE, null, NO_BODY);
+            ingress.answer(from, standing.wantsClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, null, NO_BODY);
         } else if (!isJob(request.path())) {
             invariants.count("ingress unknown path");
             ingress.answer(from, HttpStatus.NOT_FOUND, null, NO_BODY);
         } else if (!request.method().equals(POST)) {
             ingress.answer(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
         } else {
-            return intake.take(from, request);
+            return admission.accept(from, request);
         }
         return false;
     }
@@ -85,6 +85,6 @@
 
     @Override
     public String retryAfter() {
-        return intake.retryAfter();
+        return admission.retryAfter();
     }
 }
--- a/node/src/main/java/hookweir/net/Shutdown.java
+++ b/node/src/main/java/hookweir/net/Shutdown.java
@@ -10,42 +10,42 @@
  */
 final class Shutdown {
     /** SIGKILL comes no sooner than 3.7 s after SIGTERM; what can still be tried elsewhere is let go before. */
-    private static final long LET_GO_AFTER_US = 3_500_000;
-    private static final long EXIT_AFTER_US = 900_000;
+    private static final long RETRY_WINDOW_US = 3_500_000;
+    private static final long MIN_DRAIN_US = 900_000;
     private static final long EXIT_POLL_US = 50_000;
 
     private final Loop loop;
     private final Invariants invariants;
     private final Standing standing;
     private final Ingress ingress;
-    private final HeldRequests held;
+    private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private boolean draining;
     /** A later process has taken over the clients. */
-    private boolean succeeded;
+    private boolean setSuccessorServing;
 
-    Shutdown(Loop loop, Invariants invariants, Standing standing, Ingress ingress, HeldRequests held, Contract.Dispatcher module) {
+    Shutdown(Loop loop, Invariants invariants, Standing standing, Ingress ingress, PendingRequests held, Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
         this.standing = standing;
         this.ingress = ingress;
-        this.held = held;
+        this.pending = held;
         this.module = module;
     }
 
     /** A later process takes the clients (true), or is gone again. */
-    void succeeded(boolean on) {
-        if (on != succeeded) {
-            succeeded = on;
+    void setSuccessorServing(boolean on) {
+        if (on != setSuccessorServing) {
+            setSuccessorServing = on;
             standing.succeeded(on);
             ingress.accepts(!on);
-            updateSendingAway();
+            updateClientDraining();
         }
     }
 
     /** Sends clients away or keeps them, as operators, processes and signals have it by now. A planned end is not undone. */
-    void updateSendingAway() {
-        boolean away = standing.isQuiesced() || draining || succeeded;
+    void updateClientDraining() {
+        boolean away = standing.isQuiesced() || draining || setSuccessorServing;
         invariants.count(away ? "clients sent away" : "clients welcome");
         ingress.sendAway(away);
     }
@@ -60,22 +60,22 @@
         }
         draining = true;
         standing.leaves();
-        int heldBefore = held.size();
+        int heldBefore = pending.size();
         long since = loop.nowUs();
         ingress.sendAway(true);
-        module.shutdownStarted(since, since + LET_GO_AFTER_US);
-        Log.line("draining, held=" + heldBefore + ", of them let go at once " + held.answered());
-        loop.after(EXIT_AFTER_US, () -> exitWhenIdle(since));
+        module.shutdownStarted(since, since + RETRY_WINDOW_US);
+        Log.line("draining, held=" + heldBefore + ", of them let go at once " + pending.respondedCount());
+        loop.schedule(MIN_DRAIN_US, () -> exitWhenIdle(since));
     }
 
     private void exitWhenIdle(long since) {
-        if (held.isEmpty() && ingress.quiet()) {
+        if (pending.isEmpty() && ingress.quiet()) {
             // Whoever comes now waits in an inherited socket for the process that follows.
             ingress.accepts(false);
             Log.line("idle " + (loop.nowUs() - since) / 1000 + " ms after the signal, leaving; " + invariants);
             loop.stop();
         } else {
-            loop.after(EXIT_POLL_US, () -> exitWhenIdle(since));
+            loop.schedule(EXIT_POLL_US, () -> exitWhenIdle(since));
         }
     }
 }
--- a/node/src/main/java/hookweir/net/HangUp.java
+++ b/node/src/main/java/hookweir/net/SighupHandler.java
@@ -7,22 +7,22 @@
  * heeds it is kept. The class library has no public interface for signals; the unsupported one is called by reflection, as
  * its name alone is a compiler warning.
  */
-final class HangUp {
+final class SighupHandler {
     /** Both guarded by this class. */
-    private static Runnable task;
-    private static boolean came;
+    private static Runnable handler;
+    private static boolean signalPending;
 
-    private HangUp() {
+    private SighupHandler() {
     }
 
     /** From now on the process lives through it. */
-    static void expect() {
+    static void install() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object made = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
                 if (method.getName().equals("handle")) {
-                    comes();
+                    handleSignal();
                 }
                 return null;
             });
@@ -33,19 +33,19 @@
     }
 
     /** From now on each one, and one that came before, runs the task, on a thread of its own. */
-    static synchronized void heed(Runnable newTask) {
-        task = newTask;
-        if (came) {
-            came = false;
-            new Thread(task, "hang-up").start();
+    static synchronized void onSignal(Runnable newTask) {
+        handler = newTask;
+        if (signalPending) {
+            signalPending = false;
+            new Thread(handler, "hang-up").start();
         }
     }
 
-    private static synchronized void comes() {
-        if (task == null) {
-            came = true;
+    private static synchronized void handleSignal() {
+        if (handler == null) {
+            signalPending = true;
         } else {
-            task.run();
+            handler.run();
         }
     }
 }
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -38,8 +38,8 @@
     private final Egress egress;
     private final Membership membership;
     private final Succession succession;
-    private final ProcessShare share;
-    private final HeldRequests held;
+    private final ProcessResources resources;
+    private final PendingRequests pending;
     private final AttemptSender attempts;
     private final Prober prober;
     private final CallbackReceiver callbacks;
@@ -47,7 +47,7 @@
     private final Shutdown shutdown;
     private final StatusReporter reporter;
     /** Another process of this scheduler serves already when this one starts. */
-    private boolean follows;
+    private boolean startedAsSuccessor;
 
     public SocketHost(Config config, Loop loop, Transport transport, Invariants invariants, Standing standing,
             Figures figures) {
@@ -56,33 +56,33 @@
         this.standing = standing;
         this.figures = figures;
         events = new EventLog(loop::nowUs, invariants);
-        ResourceBudget room = new ResourceBudget(config.maxHeldBytes(), config.maxHeldJobs());
-        active = new ActiveSettings(room, figures, config.settings());
-        Dialer dialer = new Dialer(loop, transport);
-        ingress = new Ingress(loop, transport, invariants, events, room, this::links, new Requests());
-        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, room, ingress::size);
+        ResourceBudget budget = new ResourceBudget(config.maxHeldBytes(), config.maxHeldJobs());
+        active = new ActiveSettings(budget, figures, config.settings());
+        Connector dialer = new Connector(loop, transport);
+        ingress = new Ingress(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
+        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::size);
         module = new Policy(active.settings(), config.seed(), this);
         membership = new Membership(config, loop, dialer, invariants, events, egress, module, this::ready);
-        succession = new Succession(loop, invariants, config.handoverSocketPath(), new Neighbours());
-        share = new ProcessShare(config, room, egress, ingress, succession);
-        held = new HeldRequests(invariants, figures, active, room, ingress);
-        attempts = new AttemptSender(this, loop, invariants, events, active, egress, held, module);
+        succession = new Succession(loop, invariants, config.handoverSocketPath(), new PeerListener());
+        resources = new ProcessResources(config, budget, egress, ingress, succession);
+        pending = new PendingRequests(invariants, figures, active, budget, ingress);
+        attempts = new AttemptSender(this, loop, invariants, events, active, egress, pending, module);
         prober = new Prober(loop, invariants, active, egress, module);
-        callbacks = new CallbackReceiver(loop, invariants, active, ingress, held, module, succession);
-        JobIntake intake = new JobIntake(loop, invariants, figures, active, room, ingress, held, module);
+        callbacks = new CallbackReceiver(loop, invariants, active, ingress, pending, module, succession);
+        JobAdmission intake = new JobAdmission(loop, invariants, figures, active, budget, ingress, pending, module);
         router = new RequestRouter(invariants, standing, figures, active, ingress, callbacks, intake);
-        shutdown = new Shutdown(loop, invariants, standing, ingress, held, module);
-        reporter = new StatusReporter(loop, invariants, figures, room, ingress, egress, held, module, membership);
-        share.update();
+        shutdown = new Shutdown(loop, invariants, standing, ingress, pending, module);
+        reporter = new StatusReporter(loop, invariants, figures, budget, ingress, egress, pending, module, membership);
+        resources.update();
     }
 
     /** Links to workers; the ingress asks before there are any. */
-    private int links() {
+    private int outboundConnections() {
         return egress == null ? 0 : egress.size();
     }
 
     /** Passes requests to the router, which can't be made before the ingress that answers them. */
-    private final class Requests implements RequestHandler {
+    private final class RequestForwarder implements RequestHandler {
         @Override
         public void request(IngressConnection from, IngressRequest request) {
             router.request(from, request);
@@ -110,16 +110,16 @@
     }
 
     /** Receives what other processes of this scheduler do. */
-    private final class Neighbours implements Succession.Listener {
+    private final class PeerListener implements Succession.Listener {
         @Override
         public void neighboursChanged() {
-            share.update();
-            shutdown.succeeded(succession.succeeded());
+            resources.update();
+            shutdown.setSuccessorServing(succession.succeeded());
         }
 
         @Override
         public void passed(byte[] callback, Wire from, Consumer<Boolean> verdict) {
-            callbacks.passed(callback, from, verdict);
+            callbacks.receiveForwarded(callback, from, verdict);
         }
     }
 
@@ -138,8 +138,8 @@
      */
     public int listen(Config config) throws IOException {
         int port = ingress.listen(config.listenAddress(), config.inheritsListenSocket());
-        follows = succession.follow();
-        if (follows) {
+        startedAsSuccessor = succession.follow();
+        if (startedAsSuccessor) {
             ingress.accepts(false);
         }
         return port;
@@ -147,13 +147,13 @@
 
     /** The workers are known as well as they can be: requests are sent on from now on. */
     private void ready() {
-        if (follows) {
+        if (startedAsSuccessor) {
             ingress.accepts(true);
         }
         reporter.publish();
         standing.serves();
         succession.serves();
-        Log.line(follows ? "took over" : "ready");
+        Log.line(startedAsSuccessor ? "took over" : "ready");
     }
 
     /**
@@ -161,13 +161,13 @@
      * Where another address serves the list, what was told of it so far stands until that one speaks.
      */
     void reload(Config next) {
-        active.adopt(next.settings());
-        share.limits(next);
-        share.update();
+        active.apply(next.settings());
+        resources.setLimits(next);
+        resources.update();
         egress.limits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
-        membership.adopt(next.settings());
+        membership.applySettings(next.settings());
         module.settingsChanged(loop.nowUs(), active.settings());
-        membership.move(next.listServiceAddress());
+        membership.moveTo(next.listServiceAddress());
         invariants.count("reloads");
         figures.reloaded(true);
         Log.line("reloaded: discovery " + next.listServiceAddress() + ", classes " + next.settings().classNumbers + ", at most "
@@ -175,8 +175,8 @@
     }
 
     /** Operators sent clients away or called them back: those connected follow. A planned end is not undone by it. */
-    void turned() {
-        shutdown.updateSendingAway();
+    void quiesceChanged() {
+        shutdown.updateClientDraining();
     }
 
     /** Begins the planned end, which stops the loop once nothing is held. */
@@ -185,7 +185,7 @@
     }
 
     /** Ends what no connection's end does. */
-    void end() {
+    void close() {
         succession.end();
     }
 
@@ -197,43 +197,43 @@
     }
 
     /** An attempt's last byte is written. */
-    void dispatched() {
+    void attemptWritten() {
         figures.dispatched();
     }
 
     /** A report from an answer's header, or null. */
-    Report report(String header) {
+    Report parseLoadReport(String header) {
         return active.loadReport().ofPairs(header);
     }
 
     /** A second attempt at it would do no harm. */
-    boolean repeatable(PendingRequest request) {
+    boolean isRepeatable(PendingRequest request) {
         return active.isRepeatable(request.request.requestClass);
     }
 
     /** What is known of the workers is not out of date: an attempt may begin. */
-    boolean mayBegin() {
-        return membership.mayBegin();
+    boolean mayStartAttempt() {
+        return membership.mayStartAttempt();
     }
 
     /** Attempts can be called off. */
-    boolean cancels() {
+    boolean canCancelAttempts() {
         return active.settings().cancelAllowed;
     }
 
     /** A healthy worker says sooner than this that it took a job. */
-    long takeLimitUs() {
-        return active.takeLimitUs();
+    long acceptTimeoutUs() {
+        return active.acceptTimeoutUs();
     }
 
     /** Tells a worker that an attempt that it took is given up; runs the task once that is on its way, or can't be. */
-    void delete(Attempt attempt, Runnable after) {
-        attempts.notifyGivenUp(attempt, after);
+    void notifyCancelled(Attempt attempt, Runnable after) {
+        attempts.notifyCancelled(attempt, after);
     }
 
     /** The one end of every attempt. */
-    void attemptOver(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
-        attempts.ended(attempt, outcome, elapsedUs, report, result);
+    void attemptEnded(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
+        attempts.attemptEnded(attempt, outcome, elapsedUs, report, result);
     }
 
     // ---- Contract.Host ----
@@ -245,25 +245,25 @@
 
     @Override
     public void reportEndReason(int requestId, EndReason reason) {
-        PendingRequest request = held.byNumber(requestId);
+        PendingRequest request = pending.byNumber(requestId);
         invariants.count("requests given up " + reason);
-        events.event(() -> "request " + (request == null ? requestId : request.clientId()) + " given up: " + reason);
+        events.log(() -> "request " + (request == null ? requestId : request.clientId()) + " given up: " + reason);
     }
 
     @Override
     public void reject(int requestId, long comeBackUs) {
-        PendingRequest request = held.byNumber(requestId);
-        if (invariants.hold(request != null && !request.closed, "refusal of a closed request")) {
-            held.refuse(request, comeBackUs);
+        PendingRequest request = pending.byNumber(requestId);
+        if (invariants.check(request != null && !request.closed, "refusal of a closed request")) {
+            pending.reject(request, comeBackUs);
         }
     }
 
     @Override
     public void fail(int requestId) {
-        PendingRequest request = held.byNumber(requestId);
-        if (invariants.hold(request != null && !request.closed, "failure of a closed request")) {
-            held.answer(request, HttpStatus.SERVER_ERROR, null, NO_BODY);
-            held.settle(request);
+        PendingRequest request = pending.byNumber(requestId);
+        if (invariants.check(request != null && !request.closed, "failure of a closed request")) {
+            pending.respond(request, HttpStatus.INTERNAL_SERVER_ERROR, null, NO_BODY);
+            pending.removeIfFinished(request);
         }
     }
 
@@ -280,14 +280,14 @@
     @Override
     public void startTimer(long token, long delayUs) {
         // What lies unread is heard before a held job goes out: its client may have left, or a worker been announced as leaving.
-        loop.after(delayUs, () -> loop.afterRound(() -> module.timerExpired(loop.nowUs(), token)));
+        loop.schedule(delayUs, () -> loop.afterIoRound(() -> module.timerExpired(loop.nowUs(), token)));
     }
 
     @Override
     public void startRequestTimer(int requestId, long token, long delayUs) {
-        PendingRequest request = held.byNumber(requestId);
-        if (invariants.hold(request != null, "guard of an unknown request")) {
-            request.guard = loop.after(delayUs, () -> module.timerExpired(loop.nowUs(), token));
+        PendingRequest request = pending.byNumber(requestId);
+        if (invariants.check(request != null, "guard of an unknown request")) {
+            request.requestTimer = loop.schedule(delayUs, () -> module.timerExpired(loop.nowUs(), token));
         }
     }
 
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -15,47 +15,47 @@
     private final Loop loop;
     private final Invariants invariants;
     private final Figures figures;
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final Ingress ingress;
     private final Egress egress;
-    private final HeldRequests held;
+    private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Figures figures, ResourceBudget room, Ingress ingress, Egress egress, HeldRequests held,
+    StatusReporter(Loop loop, Invariants invariants, Figures figures, ResourceBudget room, Ingress ingress, Egress egress, PendingRequests held,
             Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
         this.figures = figures;
-        this.room = room;
+        this.budget = room;
         this.ingress = ingress;
         this.egress = egress;
-        this.held = held;
+        this.pending = held;
         this.module = module;
         this.membership = membership;
     }
 
     /** Begins to report. */
     void start() {
-        loop.after(LOG_INTERVAL_US, this::logRegularly);
+        loop.schedule(LOG_INTERVAL_US, this::logRegularly);
         publishRegularly();
     }
 
     private void logRegularly() {
-        Log.line("held=" + held.size() + " ingress=" + ingress.size() + " egress=" + egress.size() + " bytes=" + room.heldBytes()
-            + " timers=" + loop.timers() + " " + invariants);
-        loop.after(LOG_INTERVAL_US, this::logRegularly);
+        Log.line("held=" + pending.size() + " ingress=" + ingress.size() + " egress=" + egress.size() + " bytes=" + budget.heldBytes()
+            + " timers=" + loop.timerCount() + " " + invariants);
+        loop.schedule(LOG_INTERVAL_US, this::logRegularly);
     }
 
     private void publishRegularly() {
         publish();
-        loop.after(PUBLISH_INTERVAL_US, this::publishRegularly);
+        loop.schedule(PUBLISH_INTERVAL_US, this::publishRegularly);
     }
 
     /** Publishes the figures. The module is asked here, so that no operator waits for the loop. */
     void publish() {
-        figures.held(room.heldBytes(), room.maxBytes(), room.heldJobs(), room.maxJobs());
-        figures.listLease(membership.leaseLeftUs() / US_PER_MS);
+        figures.held(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
+        figures.listLease(membership.leaseRemainingUs() / US_PER_MS);
         figures.targets(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
     }
 }
--- a/node/src/main/java/hookweir/net/Transport.java
+++ b/node/src/main/java/hookweir/net/Transport.java
@@ -21,23 +21,23 @@
     /** The one size of all buffers; a longer message is a chain of these. */
     public static final int BUFFER_BYTES = 4096;
     /** The most bytes of a body, by the protocol. */
-    public static final int MOST_BODY_BYTES = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     /** The most bytes of a message's headers. */
-    public static final int MOST_HEADER_BYTES = 16 * 1024;
+    public static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final float POOL_SHARE_OF_HEAP = 0.1f;
     /** What waits at a shut door waits here; beyond it the kernel drops, and peers try again only after a second. */
-    private static final int BACKLOG = 4096;
-    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
+    private static final int ACCEPT_BACKLOG = 4096;
+    private static final Logger GRIZZLY_LOGGER = Logger.getLogger("org.glassfish.grizzly");
 
-    private final MemoryManager<? extends Buffer> pool;
+    private final MemoryManager<? extends Buffer> memoryManager;
     private final TCPNIOTransport tcp;
-    private final Message message = new Message();
+    private final MessageBuilder beginMessage = new MessageBuilder();
     private byte[] scratch = new byte[BUFFER_BYTES];
 
     public Transport(Invariants invariants, Loop loop) {
-        pool = pool(invariants);
+        memoryManager = memoryManager(invariants);
         // Peers may reset or garble any connection at any time; that is counted here, not logged there.
-        GRIZZLY.setLevel(Level.SEVERE);
+        GRIZZLY_LOGGER.setLevel(Level.SEVERE);
         tcp = TCPNIOTransportBuilder.newInstance()
             .setName("hookweir")
             .setSelectorHandler(new LoopSelector(loop))
@@ -46,16 +46,16 @@
             .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().copy().setPoolName("selector").setCorePoolSize(1)
                 .setMaxPoolSize(1).setDaemon(true))
             .setWorkerThreadPoolConfig(null)
-            .setMemoryManager(pool)
+            .setMemoryManager(memoryManager)
             .setReadBufferSize(BUFFER_BYTES)
             .setTcpNoDelay(true)
             .setKeepAlive(false)
             .setReuseAddress(true)
-            .setServerConnectionBackLog(BACKLOG)
+            .setServerConnectionBackLog(ACCEPT_BACKLOG)
             .build();
     }
 
-    private static MemoryManager<? extends Buffer> pool(Invariants invariants) {
+    private static MemoryManager<? extends Buffer> memoryManager(Invariants invariants) {
         PooledMemoryManager made = new PooledMemoryManager(BUFFER_BYTES, 1, 0, 1, POOL_SHARE_OF_HEAP, 0, true);
         made.getMonitoringConfig().addProbes(new MemoryProbe.Adapter() {
             @Override
@@ -82,31 +82,31 @@
     }
 
     /** A pooled copy of these bytes; whoever writes it to a connection gives it back by that. */
-    public Buffer pooled(byte[] bytes) {
+    public Buffer pooledCopy(byte[] bytes) {
         if (bytes.length == 0) {
             return Buffers.EMPTY_BUFFER;
         }
-        Buffer b = pool.allocate(bytes.length);
+        Buffer b = memoryManager.allocate(bytes.length);
         b.put(bytes).flip();
         b.allowBufferDispose(true);
         return b;
     }
 
     /** A message to be built, from its start; one at a time, on the selector's thread. */
-    public Message message() {
-        return message.begin();
+    public MessageBuilder beginMessage() {
+        return beginMessage.reset();
     }
 
     /** A pooled copy of the message that was built and of this body behind it, to be written. */
-    public Buffer pooled(Message head, byte[] body) {
-        Buffer b = pool.allocate(head.length() + body.length);
+    public Buffer pooledCopy(MessageBuilder head, byte[] body) {
+        Buffer b = memoryManager.allocate(head.length() + body.length);
         b.put(head.bytes(), 0, head.length()).put(body).flip();
         b.allowBufferDispose(true);
         return b;
     }
 
     /** Copies a received buffer, which goes back to the pool, to an array that the next call uses again. */
-    public byte[] received(Buffer b) {
+    public byte[] copyReceived(Buffer b) {
         int n = b.remaining();
         if (n > scratch.length) {
             scratch = new byte[n];
--- a/node/src/main/java/hookweir/net/admin/AdminListener.java
+++ b/node/src/main/java/hookweir/net/admin/AdminListener.java
@@ -3,7 +3,7 @@
 import hookweir.net.HalfClose;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.net.Message;
+import hookweir.net.MessageBuilder;
 import hookweir.net.Transport;
 import hookweir.net.server.Framing;
 import hookweir.net.server.IngressRequest;
@@ -111,7 +111,7 @@
                     open.remove(c);
                 }
             });
-            loop.post(() -> loop.after(SILENT_US, c::closeSilently));
+            loop.post(() -> loop.schedule(SILENT_US, c::closeSilently));
             return ctx.getInvokeAction();
         }
     }
@@ -123,7 +123,7 @@
             Connection<?> c = ctx.getConnection();
             Buffer in = ctx.getMessage();
             int n = in.remaining();
-            byte[] bytes = transport.received(in);
+            byte[] bytes = transport.copyReceived(in);
             if (Boolean.TRUE.equals(HAD.get(c))) {
                 invariants.count("admin bytes after the end");
                 return ctx.getStopAction();
@@ -138,7 +138,7 @@
                 if (framing.announced() > 0) {
                     framing.admit(); // a handful of connections, each with one call
                 }
-                if (framing.whole()) {
+                if (framing.isComplete()) {
                     answer(c, framing.take());
                     return ctx.getStopAction();
                 }
@@ -157,16 +157,16 @@
             invariants.count("admin answers " + answer.status);
             HAD.set(c, true);
             byte[] text = answer.text.getBytes(StandardCharsets.UTF_8);
-            Message head = transport.message().add(StatusLine.of(answer.status)).add("Content-Length: ").add(text.length).line()
+            MessageBuilder head = transport.beginMessage().add(StatusLine.of(answer.status)).add("Content-Length: ").add(text.length).endLine()
                 .header("Content-Type", PLAIN).header("Connection", "close")
-                .header("Allow", answer.status == 405 ? call.method : null).line();
+                .header("Allow", answer.status == 405 ? call.method : null).endLine();
             @SuppressWarnings("unchecked")
             Connection<SocketAddress> out = (Connection<SocketAddress>) c;
-            out.write(transport.pooled(head, text), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
+            out.write(transport.pooledCopy(head, text), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
                 @Override
                 public void completed(WriteResult<Buffer, SocketAddress> result) {
-                    if (HalfClose.shutOutput(c)) {
-                        loop.post(() -> loop.after(HalfClose.LINGER_US, c::closeSilently));
+                    if (HalfClose.shutdownOutput(c)) {
+                        loop.post(() -> loop.schedule(HalfClose.LINGER_US, c::closeSilently));
                     }
                 }
 
--- a/node/src/main/java/hookweir/net/discovery/Complaints.java
+++ b/node/src/main/java/hookweir/net/discovery/Complaints.java
@@ -1,8 +1,8 @@
 package hookweir.net.discovery;
 
+import hookweir.net.BoundedSets;
 import hookweir.net.Invariants;
 import hookweir.net.Log;
-import hookweir.net.Recent;
 import java.util.Set;
 
 /**
@@ -14,7 +14,7 @@
     private static final int MOST_CHARS = 120;
 
     private final Invariants invariants;
-    private final Set<String> logged = Recent.last(MOST);
+    private final Set<String> logged = BoundedSets.evictingOldest(MOST);
 
     Complaints(Invariants invariants) {
         this.invariants = invariants;
--- a/node/src/main/java/hookweir/net/discovery/Discovery.java
+++ b/node/src/main/java/hookweir/net/discovery/Discovery.java
@@ -1,11 +1,11 @@
 package hookweir.net.discovery;
 
 import hookweir.membership.ListCallFailure;
-import hookweir.net.Dialer;
+import hookweir.net.Connector;
 import hookweir.net.EventLog;
 import hookweir.net.Invariants;
-import hookweir.net.Link;
 import hookweir.net.Loop;
+import hookweir.net.OutboundConnection;
 import hookweir.timer.TimerWheel;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
@@ -52,7 +52,7 @@
     private static final int MOST_LINE_BYTES = 4 * 1024 * 1024;
 
     private final Loop loop;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final ListUpdate.Parser parser;
     private final Invariants invariants;
     private final EventLog events;
@@ -67,7 +67,7 @@
     /** A line of the watch could not be read: what it told is yet to be asked for. */
     private boolean missed;
 
-    public Discovery(Loop loop, Dialer dialer, InetSocketAddress address, ListUpdate.Parser parser,
+    public Discovery(Loop loop, Connector dialer, InetSocketAddress address, ListUpdate.Parser parser,
             Invariants invariants, EventLog events, BooleanSupplier pushed, Listener listener) {
         this.pushed = pushed;
         this.loop = loop;
@@ -185,7 +185,7 @@
     }
 
     /** One call: ends by its answer, by a failure, or by silence. */
-    private final class Call implements Link.Handler {
+    private final class Call implements OutboundConnection.Handler {
         private final InetSocketAddress to = address;
         /** Null for the whole list. */
         private final String query;
@@ -193,7 +193,7 @@
         private final boolean watches;
         private final Lines lines = new Lines(MOST_LINE_BYTES, Discovery.this::line);
         private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-        private Link link;
+        private OutboundConnection link;
         private TimerWheel.Timer silence;
         private boolean over;
         private long pieces;
@@ -213,15 +213,15 @@
             }
             invariants.count("discovery calls");
             startedUs = loop.nowUs();
-            silence = loop.after(pushed.getAsBoolean() ? AGENT_ANSWER_US : ANSWER_US, this::silent);
-            link = dialer.dial(to, DIAL_US, this);
+            silence = loop.schedule(pushed.getAsBoolean() ? AGENT_ANSWER_US : ANSWER_US, this::silent);
+            link = dialer.connect(to, DIAL_US, this);
         }
 
         /** Guards against a discovery machine that vanished: it leaves its connections open and mute. */
         private void silent() {
             long heard = pieces;
             // What lies unread, as this process had other things to do, is heard first.
-            loop.afterRound(() -> {
+            loop.afterIoRound(() -> {
                 if (!over && heard == pieces) {
                     invariants.count("discovery silent");
                     ListCallFailure notBrought = connected ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED;
@@ -233,7 +233,7 @@
         void stop() {
             over = true;
             silence.cancel();
-            link.end(() -> { });
+            link.closeGracefully(() -> { });
             fetches.remove(this);
         }
 
@@ -259,24 +259,24 @@
 
         private void logEnd(String how) {
             long tookMs = (loop.nowUs() - startedUs) / MS;
-            events.event(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + Link.host(to) + " over after " + tookMs
+            events.log(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + OutboundConnection.hostHeader(to) + " over after " + tookMs
                 + " ms: " + how);
         }
 
         @Override
-        public void up(Link l) {
+        public void connected(OutboundConnection l) {
             connected = true;
-            l.call(l.head("GET", "/v1/servers", query, Link.host(to)), new byte[0], this);
+            l.sendRequest(l.requestHead("GET", "/v1/servers", query, OutboundConnection.hostHeader(to)), new byte[0], this);
         }
 
         @Override
-        public void piece(Link l, Link.Piece piece) {
+        public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
             if (over) {
                 return;
             }
             pieces++;
             silence.cancel();
-            silence = loop.after(query == null ? ANSWER_US : SILENCE_US, this::silent);
+            silence = loop.schedule(query == null ? ANSWER_US : SILENCE_US, this::silent);
             if (piece.status() != 200) {
                 invariants.count("discovery status " + piece.status());
                 fail(piece.status() == BUSY ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + piece.status());
@@ -285,14 +285,14 @@
                     logEnd("watch opened");
                 }
                 lines.feed(piece.bytes());
-                if (piece.last()) {
+                if (piece.isLast()) {
                     fail(); // the line that it ends in, if any, was cut and is asked for again
                 }
             } else {
                 whole.writeBytes(piece.bytes());
                 if (whole.size() > MOST_LINE_BYTES) {
                     fail();
-                } else if (piece.last()) {
+                } else if (piece.isLast()) {
                     wholeList();
                 }
             }
@@ -314,7 +314,7 @@
         }
 
         @Override
-        public void down(Link l) {
+        public void disconnected(OutboundConnection l) {
             fail();
         }
     }
--- a/node/src/main/java/hookweir/net/server/BodyReservations.java
+++ b/node/src/main/java/hookweir/net/server/BodyReservations.java
@@ -33,7 +33,7 @@
         if (unused > 0) {
             release(c.callback, unused);
         } else if (unused < 0) {
-            invariants.hold(false, "a body was longer than announced");
+            invariants.check(false, "a body was longer than announced");
         }
         c.reservedBytes = 0;
     }
--- a/node/src/main/java/hookweir/net/server/ConnectionCloser.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionCloser.java
@@ -5,7 +5,7 @@
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.net.Message;
+import hookweir.net.MessageBuilder;
 import hookweir.net.server.IngressConnection.Phase;
 import java.util.function.Supplier;
 
@@ -46,7 +46,7 @@
     /** Answers with the connection's error status and ends the connection. */
     void closeWithError(IngressConnection c) {
         beginFinalResponse(c);
-        Message head = writer.head(c.errorStatus, 0, c.errorStatus == HttpStatus.TOO_MANY_REQUESTS ? retryAfter.get() : null)
+        MessageBuilder head = writer.head(c.errorStatus, 0, c.errorStatus == HttpStatus.TOO_MANY_REQUESTS ? retryAfter.get() : null)
             .header("Connection", "close");
         writer.write(c, head, NO_BODY, () -> close(c, CloseReason.ERROR_ANSWER));
     }
@@ -66,11 +66,11 @@
             return;
         }
         closing(c, reason);
-        if (HalfClose.shutOutput(c.connection)) {
+        if (HalfClose.shutdownOutput(c.connection)) {
             input.discard(c, 0);
             input.setUnparsed(c, null);
             input.updateReading(c);
-            c.lingerLimit = loop.after(HalfClose.LINGER_US, c.connection::closeSilently);
+            c.lingerLimit = loop.schedule(HalfClose.LINGER_US, c.connection::closeSilently);
         }
     }
 
@@ -78,7 +78,7 @@
     void closing(IngressConnection c, CloseReason reason) {
         invariants.count("ingress closed " + reason);
         if (reason != CloseReason.LAST_ANSWER) {
-            events.event(() -> "connection of " + c.peer() + " closed: " + reason + (c.errorStatus == 0 ? "" : " " + c.errorStatus));
+            events.log(() -> "connection of " + c.peer() + " closed: " + reason + (c.errorStatus == 0 ? "" : " " + c.errorStatus));
         }
     }
 }
--- a/node/src/main/java/hookweir/net/server/ConnectionSweep.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionSweep.java
@@ -50,7 +50,7 @@
         for (IngressConnection c : connections.snapshot()) {
             check(c, now);
         }
-        loop.after(INTERVAL_US, this::run);
+        loop.schedule(INTERVAL_US, this::run);
     }
 
     private void check(IngressConnection c, long now) {
@@ -94,7 +94,7 @@
     /** Sends clients away, beginning with idle connections once their unread input has been read, or keeps them again. */
     void sendAway(boolean on) {
         sendingAway = on;
-        loop.afterRound(() -> {
+        loop.afterIoRound(() -> {
             long now = loop.nowUs();
             for (IngressConnection c : connections.snapshot()) {
                 if (sendingAway && c.mayLeave(now)) {
--- a/node/src/main/java/hookweir/net/server/Framing.java
+++ b/node/src/main/java/hookweir/net/server/Framing.java
@@ -69,7 +69,7 @@
 
     /** So many bytes of a body were announced and wait for {@link #admit}; 0 where none are. */
     public int announced() {
-        return !waits ? 0 : chunked ? Transport.MOST_BODY_BYTES : (int) length;
+        return !waits ? 0 : chunked ? Transport.MAX_BODY_BYTES : (int) length;
     }
 
     /** Room was found for the body that was announced. */
@@ -101,12 +101,12 @@
     }
 
     @Override
-    protected boolean waits() {
+    protected boolean isPaused() {
         return waits;
     }
 
     @Override
-    protected void startLine() {
+    protected void onStartLine() {
         seen = 0;
         headers = 0;
         closes = false;
@@ -118,13 +118,13 @@
         contentType = null;
         Arrays.fill(deciding, null);
         int methodEnd = 0;
-        while (methodEnd < lineEnd && isToken(line[methodEnd])) {
+        while (methodEnd < lineEnd && isTokenChar(line[methodEnd])) {
             methodEnd++;
         }
         int pathEnd = lineEnd - VERSION_CHARS - 1;
         if (methodEnd == 0 || methodEnd > MOST_METHOD_CHARS || pathEnd < methodEnd + 2 || line[methodEnd] != ' ' || line[methodEnd + 1] != '/'
                 || line[pathEnd] != ' ' || !version(pathEnd + 1) || !plain(methodEnd + 1, pathEnd)) {
-            fail(BAD);
+            fail(BAD_REQUEST);
             return;
         }
         method = text(0, methodEnd);
@@ -163,15 +163,15 @@
     }
 
     @Override
-    protected void header(int nameEnd, int from, int to, boolean trailer) {
+    protected void onHeader(int nameEnd, int from, int to, boolean trailer) {
         if (++headers > MOST_HEADERS) {
             fail(HEAD_TOO_LONG);
             return;
         }
         for (int i = 0; i < DECIDING.length; i++) {
-            if (is(DECIDING[i], 0, nameEnd)) {
+            if (lineEquals(DECIDING[i], 0, nameEnd)) {
                 if (trailer || (seen & 1 << i) != 0) {
-                    fail(BAD); // of two lengths, ids or classes, which one counts?
+                    fail(BAD_REQUEST); // of two lengths, ids or classes, which one counts?
                     return;
                 }
                 seen |= 1 << i;
@@ -179,11 +179,11 @@
                 return;
             }
         }
-        if (trailer && starts("req-", nameEnd)) {
-            fail(BAD);
-        } else if (is("connection", 0, nameEnd)) {
+        if (trailer && lineStartsWith("req-", nameEnd)) {
+            fail(BAD_REQUEST);
+        } else if (lineEquals("connection", 0, nameEnd)) {
             connection(from, to);
-        } else if (is("content-type", 0, nameEnd)) {
+        } else if (lineEquals("content-type", 0, nameEnd)) {
             contentType = text(from, to);
         }
     }
@@ -191,19 +191,19 @@
     private void decide(int which, int from, int to) {
         switch (DECIDING[which]) {
             case "content-length" -> {
-                length = digits(from, to);
+                length = parseDigits(from, to);
                 if (length < 0) {
-                    fail(BAD);
+                    fail(BAD_REQUEST);
                 }
             }
             case "transfer-encoding" -> {
-                chunked = is("chunked", from, to);
+                chunked = lineEquals("chunked", from, to);
                 if (!chunked) {
-                    fail(BAD);
+                    fail(BAD_REQUEST);
                 }
             }
             case "expect" -> {
-                expects = is("100-continue", from, to);
+                expects = lineEquals("100-continue", from, to);
                 if (!expects) {
                     fail(EXPECTATION_FAILED);
                 }
@@ -229,48 +229,48 @@
             while (last > first && (line[last - 1] == ' ' || line[last - 1] == '\t')) {
                 last--;
             }
-            closes |= is("close", first, last);
-            keeps |= is("keep-alive", first, last);
+            closes |= lineEquals("close", first, last);
+            keeps |= lineEquals("keep-alive", first, last);
             at = end + 1;
         }
     }
 
     @Override
-    protected void headEnded() {
+    protected void onHeadEnd() {
         boolean host = (seen & 1 << 2) != 0;
         if (chunked && (length >= 0 || oldVersion) || !oldVersion && !host) {
-            fail(BAD);
-        } else if (length > Transport.MOST_BODY_BYTES) {
+            fail(BAD_REQUEST);
+        } else if (length > Transport.MAX_BODY_BYTES) {
             fail(TOO_LONG);
         } else if (chunked) {
             waits = true;
-            bodyInChunks();
+            expectChunkedBody();
         } else if (ofClients && posts && length < 0) {
             fail(LENGTH_REQUIRED); // whoever left the length out may have left the job out too
         } else {
             waits = length > 0;
-            bodyOf(Math.max(0, length));
+            expectBody(Math.max(0, length));
         }
     }
 
     @Override
-    protected void chunkBegins(long bytes) {
-        if (bodyBytes + bytes > Transport.MOST_BODY_BYTES) {
+    protected void onChunkStart(long bytes) {
+        if (bodyBytes + bytes > Transport.MAX_BODY_BYTES) {
             fail(TOO_LONG);
         }
     }
 
     @Override
-    protected void body(byte[] from, int at, int n) {
+    protected void onBody(byte[] from, int at, int n) {
         if (bodyBytes + n > body.length) {
-            body = Arrays.copyOf(body, Math.min(Transport.MOST_BODY_BYTES, Math.max(2 * body.length, bodyBytes + n)));
+            body = Arrays.copyOf(body, Math.min(Transport.MAX_BODY_BYTES, Math.max(2 * body.length, bodyBytes + n)));
         }
         System.arraycopy(from, at, body, bodyBytes, n);
         bodyBytes += n;
     }
 
     @Override
-    protected void ended() {
+    protected void onMessageEnd() {
         IngressRequest.Headers told = new IngressRequest.Headers(deciding[ID], deciding[ID + 1], deciding[ID + 2], deciding[ID + 3],
             deciding[ID + 4], deciding[ID + 5], deciding[ID + 6], deciding[KEY], contentType);
         request = new IngressRequest(method, path, query, told, bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes),
--- a/node/src/main/java/hookweir/net/server/InputControl.java
+++ b/node/src/main/java/hookweir/net/server/InputControl.java
@@ -55,7 +55,7 @@
     private void pauseDiscarding(IngressConnection c) {
         c.discardPaused = true;
         enableReading(c, false);
-        loop.after(DISCARD_PAUSE_US, () -> {
+        loop.schedule(DISCARD_PAUSE_US, () -> {
             c.discardPaused = false;
             c.discardedBytes = 0;
             if (c.connection.isOpen()) {
--- a/node/src/main/java/hookweir/net/server/RequestFilter.java
+++ b/node/src/main/java/hookweir/net/server/RequestFilter.java
@@ -55,7 +55,7 @@
         IngressConnection connection = INGRESS_CONNECTION.get(context.getConnection());
         Buffer buffer = context.getMessage();
         int length = buffer.remaining();
-        byte[] bytes = transport.received(buffer);
+        byte[] bytes = transport.copyReceived(buffer);
         if (connection != null) {
             loop.now(() -> listener.received(connection, bytes, 0, length));
         }
--- a/node/src/main/java/hookweir/net/server/RequestQueue.java
+++ b/node/src/main/java/hookweir/net/server/RequestQueue.java
@@ -3,7 +3,7 @@
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.net.Message;
+import hookweir.net.MessageBuilder;
 import java.util.function.Consumer;
 
 /** Hands each connection's requests to the handler one at a time, in order, and writes their answers. Belongs to the loop. */
@@ -74,7 +74,7 @@
     /** Answers the request under way; retryAfter may be null. */
     void answer(IngressConnection c, int status, String retryAfter, byte[] body) {
         IngressRequest request = c.current;
-        if (!invariants.hold(request != null, "answer without a request")) {
+        if (!invariants.check(request != null, "answer without a request")) {
             return;
         }
         c.onDisconnect = null;
@@ -83,7 +83,7 @@
         }
         countBadRequests(c, status);
         boolean last = isLastAnswer(c, request);
-        Message head = writer.head(status, body.length, retryAfter);
+        MessageBuilder head = writer.head(status, body.length, retryAfter);
         if (last) {
             closer.beginFinalResponse(c);
             head.header("Connection", "close");
@@ -102,7 +102,7 @@
     }
 
     private void countBadRequests(IngressConnection c, int status) {
-        boolean bad = status >= HttpStatus.BAD_REQUEST && status != HttpStatus.TOO_MANY_REQUESTS && status < HttpStatus.SERVER_ERROR;
+        boolean bad = status >= HttpStatus.BAD_REQUEST && status != HttpStatus.TOO_MANY_REQUESTS && status < HttpStatus.INTERNAL_SERVER_ERROR;
         c.badRequests = bad ? c.badRequests + 1 : 0;
         if (c.badRequests > MAX_BAD_REQUESTS && !c.throttled) {
             throttle(c);
@@ -112,7 +112,7 @@
     private void throttle(IngressConnection c) {
         c.throttled = true;
         input.updateReading(c);
-        loop.after(THROTTLE_US, () -> {
+        loop.schedule(THROTTLE_US, () -> {
             c.throttled = false;
             readBuffered.accept(c);
             input.updateReading(c);
--- a/node/src/main/java/hookweir/net/server/RequestReader.java
+++ b/node/src/main/java/hookweir/net/server/RequestReader.java
@@ -57,7 +57,7 @@
                 closer.closeUnreadable(c, framing.fault());
                 return;
             }
-            if (framing.whole()) {
+            if (framing.isComplete()) {
                 IngressRequest request = framing.take();
                 reservations.consume(c, request.body().length);
                 queue.arrived(c, request);
@@ -65,7 +65,7 @@
         }
         if (c.ignoresInput()) {
             input.discard(c, to - from);
-        } else if (!framing.inside()) {
+        } else if (!framing.isMidMessage()) {
             c.partialSinceUs = 0;
         } else if (c.partialSinceUs == 0) {
             c.partialSinceUs = loop.nowUs();
--- a/node/src/main/java/hookweir/net/server/ResponseWriter.java
+++ b/node/src/main/java/hookweir/net/server/ResponseWriter.java
@@ -2,7 +2,7 @@
 
 import hookweir.net.HttpStatus;
 import hookweir.net.Loop;
-import hookweir.net.Message;
+import hookweir.net.MessageBuilder;
 import hookweir.net.Transport;
 import hookweir.room.ResourceBudget;
 import java.net.SocketAddress;
@@ -33,22 +33,22 @@
     }
 
     /** Begins a response's head, to which further headers may be added; retryAfter may be null. */
-    Message head(int status, int bodyBytes, String retryAfter) {
-        Message head = transport.message().add(StatusLine.of(status));
+    MessageBuilder head(int status, int bodyBytes, String retryAfter) {
+        MessageBuilder head = transport.beginMessage().add(StatusLine.of(status));
         if (status != HttpStatus.NO_CONTENT) {
-            head.add("Content-Length: ").add(bodyBytes).line();
+            head.add("Content-Length: ").add(bodyBytes).endLine();
         }
         return head.header("Retry-After", retryAfter);
     }
 
     /** Ends the head and writes the response; the task runs, in the loop's next turn, once the client has taken it. */
-    void write(IngressConnection c, Message head, byte[] body, Runnable onWritten) {
-        write(c, transport.pooled(head.line(), body), onWritten);
+    void write(IngressConnection c, MessageBuilder head, byte[] body, Runnable onWritten) {
+        write(c, transport.pooledCopy(head.endLine(), body), onWritten);
     }
 
     /** Asks the client to send the body that it announced. */
     void writeContinue(IngressConnection c) {
-        write(c, transport.pooled(CONTINUE), () -> { });
+        write(c, transport.pooledCopy(CONTINUE), () -> { });
     }
 
     private void write(IngressConnection c, Buffer message, Runnable onWritten) {
--- a/node/src/main/java/hookweir/net/upgrade/Succession.java
+++ b/node/src/main/java/hookweir/net/upgrade/Succession.java
@@ -156,7 +156,7 @@
         Tally tally = new Tally(to.size(), verdict);
         for (Wire w : to) {
             int number = w.ask(callback, tally::one);
-            loop.after(PATIENCE_US, () -> w.verdict(number, false));
+            loop.schedule(PATIENCE_US, () -> w.verdict(number, false));
         }
     }
 
--- a/node/src/main/java/hookweir/net/upgrade/Wire.java
+++ b/node/src/main/java/hookweir/net/upgrade/Wire.java
@@ -74,7 +74,7 @@
             int length = head.getInt();
             int kind = head.get();
             int number = head.getInt();
-            if (length < 0 || length > Transport.MOST_BODY_BYTES) {
+            if (length < 0 || length > Transport.MAX_BODY_BYTES) {
                 throw new IOException("a frame of " + length + " bytes");
             }
             ByteBuffer bytes = ByteBuffer.allocate(length);
--- a/node/src/main/java/hookweir/net/worker/Egress.java
+++ b/node/src/main/java/hookweir/net/worker/Egress.java
@@ -1,11 +1,11 @@
 package hookweir.net.worker;
 
 import hookweir.Contract;
-import hookweir.net.Dialer;
+import hookweir.net.Connector;
 import hookweir.net.HttpStatus;
 import hookweir.net.Invariants;
-import hookweir.net.Link;
 import hookweir.net.Loop;
+import hookweir.net.OutboundConnection;
 import hookweir.room.ResourceBudget;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -44,7 +44,7 @@
     private static final int MOST_LINGERING = 16;
 
     private final Loop loop;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Invariants invariants;
     private long dialLimitUs;
     private long idleLimitUs;
@@ -54,14 +54,14 @@
     /** How many connections are accepted. */
     private final IntSupplier accepted;
     private final Map<Integer, WorkerEndpoint> targets = new HashMap<>();
-    private final Set<Link> open = new HashSet<>();
+    private final Set<OutboundConnection> open = new HashSet<>();
     /** A running mean: the share of kept links that broke under their next call. */
     private double keptBreaks;
     private int lingering;
     private final IdleLinks idle = new IdleLinks();
     private final RestBudget restBudget = new RestBudget();
 
-    public Egress(Loop loop, Dialer dialer, Invariants invariants, long dialLimitUs, long connIdleUs, ResourceBudget room, IntSupplier accepted) {
+    public Egress(Loop loop, Connector dialer, Invariants invariants, long dialLimitUs, long connIdleUs, ResourceBudget room, IntSupplier accepted) {
         this.loop = loop;
         this.dialer = dialer;
         this.invariants = invariants;
@@ -79,7 +79,7 @@
 
     /** Starts closing idle links in time. */
     public void start() {
-        loop.after(SWEEP_US, this::sweep);
+        loop.schedule(SWEEP_US, this::sweep);
     }
 
     /** The target of this number, or null. */
@@ -119,7 +119,7 @@
 
     private void endIdle(WorkerEndpoint t) {
         while (!t.idle.isEmpty()) {
-            Link link = t.idle.peek();
+            OutboundConnection link = t.idle.peek();
             idle.take(t, link);
             end(link);
         }
@@ -128,17 +128,17 @@
     /**
      * Gets a link to the target: the newest idle one on which no second answer can come any more, else the one that rested
      * longest, else by a dial. A call waits for a link to rest where that is affordable; it rides one that does not where
-     * {@link Link#secondAnswerUntilUs} lets the caller tell whose an answer is.
+     * {@link OutboundConnection#duplicateResponseUntilUs} lets the caller tell whose an answer is.
      *
      * @param mostBreaks the share of kept links that may break under their next call for one to be used all the
      *     same; or {@link #NONE}, {@link #SETTLED}, {@link #ANY}
      * @return the link that is dialled or ready; null where it has to wait for one that others use, or that is yet to settle,
      *     and is told when it gets it, or that it gets none in the time that a dial may take
      */
-    public Link link(WorkerEndpoint target, Link.Handler handler, double mostBreaks) {
-        Link rested = keptBreaks > mostBreaks ? null : mostRested(target);
+    public OutboundConnection link(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
+        OutboundConnection rested = keptBreaks > mostBreaks ? null : mostRested(target);
         long now = loop.nowUs();
-        if (rested != null && (rested.settledUs <= now || mostBreaks >= ANY)) {
+        if (rested != null && (rested.reuseAfterUs <= now || mostBreaks >= ANY)) {
             return reused(target, rested, handler);
         }
         boolean mustRest = target.answersTwice(now);
@@ -151,8 +151,8 @@
             return null;
         }
         boolean mayDial = mayDial();
-        Link reserved = target.idle.peekLast();
-        if (!mayDial && !mustRest && keptBreaks <= mostBreaks && reserved != null && reserved.isFree()) {
+        OutboundConnection reserved = target.idle.peekLast();
+        if (!mayDial && !mustRest && keptBreaks <= mostBreaks && reserved != null && reserved.isIdle()) {
             return reused(target, reserved, handler); // whoever waits for this one looks again
         }
         if (!mayDial && !evict()) {
@@ -160,15 +160,15 @@
             return null;
         }
         invariants.count("egress dials");
-        Link link = dialer.dial(target.address(), dialLimitUs, handler);
+        OutboundConnection link = dialer.connect(target.address(), dialLimitUs, handler);
         open.add(link);
         return link;
     }
 
     /** What {@link IdleLinks#mostRested} has, without what the worker ended unseen. */
-    private Link mostRested(WorkerEndpoint target) {
-        Link chosen = idle.mostRested(target, loop.nowUs());
-        while (chosen != null && !chosen.isFree()) {
+    private OutboundConnection mostRested(WorkerEndpoint target) {
+        OutboundConnection chosen = idle.mostRested(target, loop.nowUs());
+        while (chosen != null && !chosen.isIdle()) {
             idle.take(target, chosen);
             end(chosen);
             chosen = idle.mostRested(target, loop.nowUs());
@@ -177,19 +177,19 @@
     }
 
     /** At no cost to the worker, unlike a dial. Each call waits for a link of its own, and is looked at again before it goes. */
-    private void awaitRest(WorkerEndpoint target, Link own, Link.Handler handler, double mostBreaks) {
+    private void awaitRest(WorkerEndpoint target, OutboundConnection own, OutboundConnection.Handler handler, double mostBreaks) {
         invariants.count("egress waits for rest");
         own.reserved = true;
         // After a whole round of I/O, so that news that lies unread as the link has rested is heard first.
-        loop.after(own.settledUs - loop.nowUs(), () -> loop.afterRound(() -> {
+        loop.schedule(own.reuseAfterUs - loop.nowUs(), () -> loop.afterIoRound(() -> {
             own.reserved = false;
             linkLater(target, handler, mostBreaks);
         }));
     }
 
     /** Gets a link for a call that had to wait for one, unless it is over by now or its worker leaves. */
-    private void linkLater(WorkerEndpoint target, Link.Handler handler, double mostBreaks) {
-        if (handler.wantsLink()) {
+    private void linkLater(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
+        if (handler.needsConnection()) {
             link(target, handler, mostBreaks);
         } else {
             invariants.count("egress calls gone before their link");
@@ -197,19 +197,19 @@
         }
     }
 
-    private void awaitFree(WorkerEndpoint target, Link.Handler handler, double mostBreaks) {
+    private void awaitFree(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
         if (waiting.size() >= MOST_WAITING) {
             invariants.count("egress out of links");
-            loop.post(handler::noLink);
+            loop.post(handler::connectionUnavailable);
             return;
         }
         invariants.count("egress waits for a link");
         WaitingCall w = new WaitingCall(target, handler, mostBreaks);
         waiting.add(w);
-        w.limit = loop.after(dialLimitUs, () -> {
+        w.limit = loop.schedule(dialLimitUs, () -> {
             waiting.remove(w);
             invariants.count("egress out of links");
-            handler.noLink();
+            handler.connectionUnavailable();
         });
     }
 
@@ -217,12 +217,12 @@
         return room.mayConnectToWorker(open.size(), accepted.getAsInt());
     }
 
-    private Link reused(WorkerEndpoint target, Link link, Link.Handler handler) {
+    private OutboundConnection reused(WorkerEndpoint target, OutboundConnection link, OutboundConnection.Handler handler) {
         idle.take(target, link);
         link.reserved = false;
-        link.kept = true;
-        link.rest(handler);
-        handler.up(link);
+        link.reused = true;
+        link.setIdleHandler(handler);
+        handler.connected(link);
         return link;
     }
 
@@ -275,10 +275,10 @@
     }
 
     /** A call over this link came to an answer or broke: what kept links are worth is learnt by it. */
-    public void used(Link link, boolean broke) {
-        if (link.kept) {
+    public void used(OutboundConnection link, boolean broke) {
+        if (link.reused) {
             keptBreaks += BREAKS_GAIN * ((broke ? 1 : 0) - keptBreaks);
-            link.kept = false;
+            link.reused = false;
             if (broke) {
                 invariants.count("egress kept links broke");
             }
@@ -286,25 +286,25 @@
     }
 
     /** Takes a link back after a call; it is kept if it can carry another. */
-    public void release(WorkerEndpoint target, Link link, boolean keepAlive) {
-        if (!keepAlive || !link.isFree() || targets.get(target.id) != target) {
+    public void release(WorkerEndpoint target, OutboundConnection link, boolean keepAlive) {
+        if (!keepAlive || !link.isIdle() || targets.get(target.id) != target) {
             end(link);
             return;
         }
         link.idleSinceUs = loop.nowUs();
-        link.rest(new Link.Handler() {
+        link.setIdleHandler(new OutboundConnection.Handler() {
             @Override
-            public void piece(Link l, Link.Piece piece) {
+            public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
                 // none comes without a call: see unasked
             }
 
             @Override
-            public void unasked(Link l, int status) {
+            public void unexpectedResponse(OutboundConnection l, int status) {
                 answeredTwice(target, l, status);
             }
 
             @Override
-            public void down(Link l) {
+            public void disconnected(OutboundConnection l) {
                 idle.take(target, l);
                 open.remove(l);
                 freed();
@@ -319,7 +319,7 @@
     private void trim(WorkerEndpoint target) {
         int share = Math.max(MOST_IDLE, room.maxIdleWorkerConnections() / targets.size());
         if (target.idle.size() > share && !room.hasSpareDescriptors(open.size(), accepted.getAsInt())) {
-            Link oldest = target.idle.peekLast();
+            OutboundConnection oldest = target.idle.peekLast();
             idle.take(target, oldest);
             end(oldest);
         }
@@ -329,22 +329,22 @@
      * A worker answered a call twice, as an outlier does: its links rest after each job for a while. What the last call of
      * this link was told by a 202 that may have been another's is in doubt, unless this answer is a 202 too.
      */
-    public void answeredTwice(WorkerEndpoint target, Link link, int status) {
+    public void answeredTwice(WorkerEndpoint target, OutboundConnection link, int status) {
         invariants.count("egress answer without a call");
         target.answeredTwice(loop.nowUs() + ANSWERS_TWICE_US);
-        Link.Taken last = link.taken();
+        OutboundConnection.AcceptanceListener last = link.acceptanceListener();
         if (last != null && status != HttpStatus.ACCEPTED) {
             invariants.count("egress answers in doubt");
-            link.taken(null);
-            last.inDoubt();
+            link.acceptanceListener(null);
+            last.acceptanceInDoubt();
         }
     }
 
     /** Takes a link back after an answer that could be a job's: it carries no other until a second one would have come. */
-    public void settles(WorkerEndpoint target, Link link, boolean keepAlive) {
+    public void settles(WorkerEndpoint target, OutboundConnection link, boolean keepAlive) {
         long now = loop.nowUs();
-        link.settledUs = now + (target.answersTwice(now) ? SECOND_ANSWER_US : REST_US);
-        link.secondAnswerUntilUs = now + SECOND_ANSWER_US;
+        link.reuseAfterUs = now + (target.answersTwice(now) ? SECOND_ANSWER_US : REST_US);
+        link.duplicateResponseUntilUs = now + SECOND_ANSWER_US;
         release(target, link, keepAlive);
     }
 
@@ -354,10 +354,10 @@
     }
 
     /** Ends a link, or forgets one that is down. */
-    public void end(Link link) {
+    public void end(OutboundConnection link) {
         if (lingering < MOST_LINGERING) {
             lingering++;
-            link.end(() -> lingering--);
+            link.closeGracefully(() -> lingering--);
         } else {
             link.close();
         }
@@ -366,7 +366,7 @@
     }
 
     /** Closes a link under its call, which is given up by that. */
-    public void cut(Link link) {
+    public void cut(OutboundConnection link) {
         link.close();
         open.remove(link);
         freed();
@@ -375,14 +375,14 @@
     private void sweep() {
         long now = loop.nowUs();
         for (WorkerEndpoint t : targets.values()) {
-            Link oldest = t.idle.peekLast();
-            while (oldest != null && (now - oldest.idleSinceUs + SWEEP_US >= idleLimitUs || !oldest.isFree())) {
+            OutboundConnection oldest = t.idle.peekLast();
+            while (oldest != null && (now - oldest.idleSinceUs + SWEEP_US >= idleLimitUs || !oldest.isIdle())) {
                 idle.take(t, oldest);
                 end(oldest);
                 oldest = t.idle.peekLast();
             }
         }
-        loop.after(SWEEP_US, this::sweep);
+        loop.schedule(SWEEP_US, this::sweep);
     }
 
     /** Targets in the list. */
--- a/node/src/main/java/hookweir/net/worker/WaitingCall.java
+++ b/node/src/main/java/hookweir/net/worker/WaitingCall.java
@@ -1,17 +1,17 @@
 package hookweir.net.worker;
 
-import hookweir.net.Link;
+import hookweir.net.OutboundConnection;
 import hookweir.timer.TimerWheel;
 
 /** A call that waits for a link to come free. */
 final class WaitingCall {
     final WorkerEndpoint target;
-    final Link.Handler handler;
+    final OutboundConnection.Handler handler;
     final double mostBreaks;
     /** Ends the wait. */
     TimerWheel.Timer limit;
 
-    WaitingCall(WorkerEndpoint target, Link.Handler handler, double mostBreaks) {
+    WaitingCall(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
         this.target = target;
         this.handler = handler;
         this.mostBreaks = mostBreaks;
--- a/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
+++ b/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
@@ -1,7 +1,7 @@
 package hookweir.net.worker;
 
 import hookweir.Contract;
-import hookweir.net.Link;
+import hookweir.net.OutboundConnection;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -12,7 +12,7 @@
     public final String name;
     /** Its id for the module. */
     public final int id;
-    final Deque<Link> idle = new ArrayDeque<>();
+    final Deque<OutboundConnection> idle = new ArrayDeque<>();
     private InetSocketAddress address;
     private String host;
     private Contract.WorkerState state;
@@ -50,7 +50,7 @@
 
     void update(InetSocketAddress newAddress, Contract.WorkerState newState) {
         if (!newAddress.equals(address)) {
-            host = Link.host(newAddress);
+            host = OutboundConnection.hostHeader(newAddress);
         }
         address = newAddress;
         state = newState;
--- a/node/src/test/java/hookweir/net/DialsTest.java
+++ b/node/src/test/java/hookweir/net/DialsTest.java
@@ -63,7 +63,7 @@
                 for (int i = 0; i <= MOST_WAITING; i++) {
                     pool.egress.link(pool.egress.target(1), new LinkPool.Silent() {
                         @Override
-                        public void noLink() {
+                        public void connectionUnavailable() {
                             refused.countDown();
                         }
                     }, Egress.SETTLED);
--- a/node/src/test/java/hookweir/net/EventLogTest.java
+++ b/node/src/test/java/hookweir/net/EventLogTest.java
@@ -21,14 +21,14 @@
         Invariants invariants = new Invariants();
         EventLog log = new EventLog(() -> nowUs, invariants);
         for (int i = 0; i < EVENTS; i++) {
-            log.event(this::text);
+            log.log(this::text);
         }
-        assertEquals(EventLog.BURST, made);
-        assertEquals(EVENTS - EventLog.BURST, invariants.counted("events not logged"));
+        assertEquals(EventLog.BURST_LINES, made);
+        assertEquals(EVENTS - EventLog.BURST_LINES, invariants.counted("events not logged"));
         nowUs += SECOND_US;
         for (int i = 0; i < EVENTS; i++) {
-            log.event(this::text);
+            log.log(this::text);
         }
-        assertEquals(EventLog.BURST + EventLog.PER_S, made);
+        assertEquals(EventLog.BURST_LINES + EventLog.LINES_PER_S, made);
     }
 }
--- a/node/src/test/java/hookweir/net/FailuresTest.java
+++ b/node/src/test/java/hookweir/net/FailuresTest.java
@@ -305,8 +305,8 @@
     @Test
     void hangUpIsHandled() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
-        HangUp.expect();
-        HangUp.heed(heard::countDown);
+        SighupHandler.install();
+        SighupHandler.onSignal(heard::countDown);
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid())).start();
         heard.await();
     }
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -112,7 +112,7 @@
         Transport transport = new Transport(invariants, loop);
         ResourceBudget room = new ResourceBudget(1 << 20, 100);
         room.setMaxDescriptors(100);
-        Egress egress = new Egress(loop, new Dialer(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
+        Egress egress = new Egress(loop, new Connector(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         try (ServerSocket door = new ServerSocket(0, 4096, InetAddress.getLoopbackAddress())) {
             transport.start();
@@ -122,19 +122,19 @@
                 int id = i;
                 loop.post(() -> {
                     egress.told(id, "s-" + id, at, Contract.WorkerState.READY);
-                    egress.link(egress.target(id), new Link.Handler() {
+                    egress.link(egress.target(id), new OutboundConnection.Handler() {
                         @Override
-                        public void up(Link link) {
+                        public void connected(OutboundConnection link) {
                             egress.release(egress.target(id), link, true);
                             sizes.add(egress.size());
                         }
 
                         @Override
-                        public void piece(Link link, Link.Piece piece) {
+                        public void responsePart(OutboundConnection link, OutboundConnection.ResponsePart piece) {
                         }
 
                         @Override
-                        public void down(Link link) {
+                        public void disconnected(OutboundConnection link) {
                             sizes.add(Integer.MAX_VALUE);
                         }
                     }, Egress.ANY);
--- a/node/src/test/java/hookweir/net/FramingTest.java
+++ b/node/src/test/java/hookweir/net/FramingTest.java
@@ -31,7 +31,7 @@
                 return -f.fault();
             }
             assertTrue(end > 0);
-            messages += f.whole() ? 1 : 0;
+            messages += f.isComplete() ? 1 : 0;
             from += end;
         }
         return messages;
@@ -55,7 +55,7 @@
     void messagesEndWhereTheyEndHoweverCut(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> lengths) {
         Framing f = new Framing();
         assertEquals(4, read(f, (PLAIN + CHUNKED + BARE + PLAIN).getBytes(StandardCharsets.US_ASCII), lengths));
-        assertFalse(f.inside());
+        assertFalse(f.isMidMessage());
     }
 
     @Property(seed = "22", tries = 1000)
@@ -95,7 +95,7 @@
         assertEquals(-400, read("POST /api HTTP/1.1\r\n\r\n")); // no host
         assertEquals(-411, read("POST /api HTTP/1.1\r\nHost: h\r\n\r\n"));
         assertEquals(-431, read("POST /api HTTP/1.1\r\n" + "A: b\r\n".repeat(65)));
-        assertEquals(-431, read("POST /api HTTP/1.1\r\nA: " + "b".repeat(Transport.MOST_HEADER_BYTES)));
+        assertEquals(-431, read("POST /api HTTP/1.1\r\nA: " + "b".repeat(Transport.MAX_HEADER_BYTES)));
         assertEquals(-413, read("POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"));
         assertEquals(-400, read("POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n"));
         assertEquals(-400, read("POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab"));
--- a/node/src/test/java/hookweir/net/HeldLoop.java
+++ b/node/src/test/java/hookweir/net/HeldLoop.java
@@ -30,7 +30,7 @@
         step.run();
         CountDownLatch entered = new CountDownLatch(1);
         CountDownLatch gate = new CountDownLatch(1);
-        n.node.afterRound(() -> {
+        n.node.afterIoRound(() -> {
             entered.countDown();
             try {
                 gate.await();
--- a/node/src/test/java/hookweir/net/LinkPool.java
+++ b/node/src/test/java/hookweir/net/LinkPool.java
@@ -29,10 +29,10 @@
     final ServerSocket door = new ServerSocket(0, 5, HERE);
     final Invariants invariants = new Invariants();
     final Egress egress;
-    final BlockingQueue<Link> up = new LinkedBlockingQueue<>();
-    final Link.Handler recorder = new Silent() {
+    final BlockingQueue<OutboundConnection> up = new LinkedBlockingQueue<>();
+    final OutboundConnection.Handler recorder = new Silent() {
         @Override
-        public void up(Link link) {
+        public void connected(OutboundConnection link) {
             up.add(link);
         }
     };
@@ -80,7 +80,7 @@
         WorkerEndpoint target = egress.target(1 + random.nextInt(workers));
         egress.link(target, new Silent() {
             @Override
-            public void up(Link link) {
+            public void connected(OutboundConnection link) {
                 bare.loop.post(() -> {
                     egress.settles(target, link, true);
                     over.countDown();
@@ -93,7 +93,7 @@
     }
 
     /** Of two calls one waits for the link to settle, and the other dials. */
-    void settlesForOne(Link first) throws Exception {
+    void settlesForOne(OutboundConnection first) throws Exception {
         link();
         link();
         assertNotSame(first, up.take(), "the second, while the first waits");
@@ -114,7 +114,7 @@
         volatile LongSupplier clock = System::nanoTime;
         final Loop loop = new Loop(new Invariants(), () -> clock.getAsLong());
         final Transport transport = new Transport(new Invariants(), loop);
-        final Dialer dialer = new Dialer(loop, transport);
+        final Connector dialer = new Connector(loop, transport);
 
         Bare() throws Exception {
             transport.start();
@@ -128,13 +128,13 @@
         }
     }
 
-    static class Silent implements Link.Handler {
+    static class Silent implements OutboundConnection.Handler {
         @Override
-        public void piece(Link link, Link.Piece piece) {
+        public void responsePart(OutboundConnection link, OutboundConnection.ResponsePart piece) {
         }
 
         @Override
-        public void down(Link link) {
+        public void disconnected(OutboundConnection link) {
         }
     }
 }
--- a/node/src/test/java/hookweir/net/LinksTest.java
+++ b/node/src/test/java/hookweir/net/LinksTest.java
@@ -192,7 +192,7 @@
     void oneCallWaitsForALinkThatSettlesAndTheNextDials() throws Exception {
         try (LinkPool pool = new LinkPool()) {
             pool.link();
-            Link first = pool.up.take();
+            OutboundConnection first = pool.up.take();
             long now = System.nanoTime();
             pool.bare.clock = () -> now;
             pool.bare.loop.post(() -> pool.egress.settles(pool.egress.target(1), first, true));
@@ -204,14 +204,14 @@
     @Test
     void whereManyLinksRestTheOneThatRestedLongestIsUsed() throws Exception {
         try (LinkPool pool = new LinkPool()) {
-            List<Link> all = new ArrayList<>();
+            List<OutboundConnection> all = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 pool.link();
                 all.add(pool.up.take());
             }
             long now = System.nanoTime();
             pool.bare.clock = () -> now;
-            for (Link link : all) {
+            for (OutboundConnection link : all) {
                 pool.bare.loop.post(() -> pool.egress.settles(pool.egress.target(1), link, true));
             }
             pool.link();
@@ -225,16 +225,16 @@
     void aLinkThatCarriedACheckThatFailedSettlesToo() throws Exception {
         try (LinkPool pool = new LinkPool()) {
             CountDownLatch ended = new CountDownLatch(1);
-            pool.bare.loop.post(() -> new Errand(pool.bare.loop, pool.egress, pool.invariants, 20_000_000, pool.egress.target(1), "GET", "/healthz",
+            pool.bare.loop.post(() -> new HttpCall(pool.bare.loop, pool.egress, pool.invariants, 20_000_000, pool.egress.target(1), "GET", "/healthz",
                     Egress.SETTLED) {
                 @Override
-                public void up(Link link) {
+                public void connected(OutboundConnection link) {
                     pool.up.add(link);
-                    super.up(link);
+                    super.connected(link);
                 }
 
                 @Override
-                void onEnd(Contract.Outcome outcome, Link.Piece last, byte[] whole) {
+                void onEnd(Contract.Outcome outcome, OutboundConnection.ResponsePart last, byte[] whole) {
                     ended.countDown();
                 }
             }.start());
@@ -257,16 +257,16 @@
             List<Socket> crowd = fill(door);
             long before = system.getOpenFileDescriptorCount();
             var address = new InetSocketAddress(HERE, door.getLocalPort());
-            List<Link> dials = new ArrayList<>();
+            List<OutboundConnection> dials = new ArrayList<>();
             bare.loop.post(() -> {
                 for (int i = 0; i < 200; i++) {
-                    dials.add(bare.dialer.dial(address, 60_000_000, new LinkPool.Silent()));
+                    dials.add(bare.dialer.connect(address, 60_000_000, new LinkPool.Silent()));
                 }
             });
             while (system.getOpenFileDescriptorCount() < before + 150) { // earlier tests may still give some back
                 Thread.onSpinWait();
             }
-            bare.loop.post(() -> dials.forEach(Link::close));
+            bare.loop.post(() -> dials.forEach(OutboundConnection::close));
             while (system.getOpenFileDescriptorCount() > before + 50) {
                 Thread.onSpinWait();
             }
@@ -281,10 +281,10 @@
     void aCallThatIsCutOffNeverGetsWhole() throws Exception {
         byte[] body = new byte[64 * 1024 * 1024];
         try (LinkPool.Bare bare = new LinkPool.Bare(); ServerSocket door = new ServerSocket(0, 1, HERE)) {
-            bare.loop.post(() -> bare.dialer.dial(new InetSocketAddress(HERE, door.getLocalPort()), 5_000_000, new LinkPool.Silent() {
+            bare.loop.post(() -> bare.dialer.connect(new InetSocketAddress(HERE, door.getLocalPort()), 5_000_000, new LinkPool.Silent() {
                 @Override
-                public void up(Link link) {
-                    link.call(link.head("POST", "/api", null, "h"), body, this);
+                public void connected(OutboundConnection link) {
+                    link.sendRequest(link.requestHead("POST", "/api", null, "h"), body, this);
                     bare.loop.post(link::close);
                 }
             }));
--- a/node/src/test/java/hookweir/net/LoadTest.java
+++ b/node/src/test/java/hookweir/net/LoadTest.java
@@ -194,7 +194,7 @@
             System.getProperty("java.class.path"), DyingNode.class.getName(), config.toString()).redirectErrorStream(true).redirectOutput(log).start();
         assertTrue(p.waitFor(30, TimeUnit.SECONDS));
         String said = Files.readString(log.toPath());
-        assertEquals(Node.DIED, p.exitValue(), said);
+        assertEquals(Node.EXIT_FATAL_ERROR, p.exitValue(), said);
         assertTrue(said.contains("the loop ended by java.lang.OutOfMemoryError"), said);
     }
 }
--- a/node/src/test/java/hookweir/net/LoopTest.java
+++ b/node/src/test/java/hookweir/net/LoopTest.java
@@ -34,7 +34,7 @@
             loop.post(again);
         }
         for (int i = 0; i < 50; i++) {
-            loop.after(0, () -> timers++);
+            loop.schedule(0, () -> timers++);
         }
         long until = loop.nowUs() + 5000;
         while (loop.nowUs() < until) {
@@ -52,11 +52,11 @@
             @Override
             public void run() {
                 timers++;
-                loop.after(0, this);
+                loop.schedule(0, this);
             }
         };
         for (int i = 0; i < 2000; i++) {
-            loop.after(0, again);
+            loop.schedule(0, again);
         }
         loop.post(() -> tasks++);
         long until = loop.nowUs() + 5000;
--- a/node/src/test/java/hookweir/net/TestNode.java
+++ b/node/src/test/java/hookweir/net/TestNode.java
@@ -291,7 +291,7 @@
     void rounds() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             CountDownLatch over = new CountDownLatch(1);
-            node.afterRound(over::countDown);
+            node.afterIoRound(over::countDown);
             over.await();
         }
     }
