--- a/lab/src/main/java/hookweir/lab/Capacity.java
+++ b/lab/src/main/java/hookweir/lab/Capacity.java
@@ -5,7 +5,7 @@
 import hookweir.lab.load.ClosedLoop;
 import hookweir.lab.load.Target;
 import hookweir.lab.net.Reactor;
-import hookweir.lab.record.Witness;
+import hookweir.lab.record.EventSink;
 import hookweir.lab.report.LoadReport;
 import hookweir.lab.report.Step;
 import hookweir.lab.standin.Fleet;
@@ -149,7 +149,7 @@
     private double echo(List<Step> steps) throws IOException, InterruptedException {
         try (Target t = Target.echo(Path.of(root), cpu, Path.of(jar)); Reactor reactor = new Reactor("echo clients")) {
             Clients.Plan plan = new Clients.Plan(connections, 0, body, deadlineMs, "job");
-            Clients c = new Clients(reactor, Fleet.local(t.port()), plan, "e", Witness.NONE);
+            Clients c = new Clients(reactor, Fleet.local(t.port()), plan, "e", EventSink.NONE);
             c.start();
             Thread.sleep((long) (seconds * 1000));
             c.take();
--- a/lab/src/main/java/hookweir/lab/check/CheckHistory.java
+++ b/lab/src/main/java/hookweir/lab/check/CheckHistory.java
@@ -16,26 +16,26 @@
     protected int run() throws IOException {
         int broken = 0;
         for (Path f : files) {
-            broken += print(f) ? 0 : 1;
+            broken += checkAndPrint(f) ? 0 : 1;
         }
         return broken == 0 ? 0 : 1;
     }
 
     /** Judges one and prints the verdict; true if it keeps the rules. */
-    public static boolean print(Path file) throws IOException {
+    public static boolean checkAndPrint(Path file) throws IOException {
         RuleChecker c;
         long began = System.nanoTime();
         try (HistoryReader in = HistoryReader.open(file)) {
             c = RuleChecker.check(file.toString(), in);
         }
         double seconds = (System.nanoTime() - began) / 1e9;
-        System.out.printf("%s: %s (%d events, %.0f a second)%n", file, c.count() == 0 ? "kept" : c.count() + " broken", c.events(),
-            c.events() / seconds);
-        c.breaches().forEach(b -> System.out.println("  " + b));
-        if (c.count() > c.breaches().size()) {
-            System.out.println("  and " + (c.count() - c.breaches().size()) + " more");
+        System.out.printf("%s: %s (%d events, %.0f a second)%n", file, c.violationCount() == 0 ? "kept" : c.violationCount() + " broken", c.eventCount(),
+            c.eventCount() / seconds);
+        c.violations().forEach(b -> System.out.println("  " + b));
+        if (c.violationCount() > c.violations().size()) {
+            System.out.println("  and " + (c.violationCount() - c.violations().size()) + " more");
         }
-        return c.count() == 0;
+        return c.violationCount() == 0;
     }
 
     @Override
--- a/lab/src/main/java/hookweir/lab/check/Event.java
+++ b/lab/src/main/java/hookweir/lab/check/Event.java
@@ -8,26 +8,26 @@
  *
  * @param line      the line of the history that holds it, from 1
  * @param atMs      when it was seen, on the history's one clock
- * @param what      what was seen
+ * @param type      what was seen
  * @param id        the request's id (Req-Id)
  * @param worker    the worker's id
  * @param scheduler the scheduler, NAME or, where it is known which of its processes, NAME/PROCESS
  * @param kind      the request's class, for an ask
  * @param how       the manner of an end or of a life's change
  * @param text      an answer's body or a job's result
- * @param sum       for an ask and an attempt: a sum over what must pass on unchanged
+ * @param checksum       for an ask and an attempt: a sum over what must pass on unchanged
  * @param zone      a worker's zone
  * @param number    deadline_ms, status, per_s, cell, or an attempt's cost; else 0
  * @param firstMs   when an attempt's first byte came; else atMs
- * @param told      for drain and serving: written to the scheduler, rather than only due to be
- * @param kept      for a cut: on a connection that had carried an exchange before
- * @param advice    an answer's Retry-After as it stood
+ * @param notified      for drain and serving: written to the scheduler, rather than only due to be
+ * @param reused      for a cut: on a connection that had carried an exchange before
+ * @param retryAfter    an answer's Retry-After as it stood
  */
-public record Event(long line, long atMs, What what, String id, String worker, String scheduler, String kind, String how,
-        String text, String sum, String zone, double number, long firstMs, boolean told, boolean kept, String advice) {
+public record Event(long line, long atMs, Type type, String id, String worker, String scheduler, String kind, String how,
+        String text, String checksum, String zone, double number, long firstMs, boolean notified, boolean reused, String retryAfter) {
 
     /** The events of a history, with the fields each must and may have beside t_ms and ev. */
-    public enum What {
+    public enum Type {
         /** A client's last byte of a request. */
         ASK(Set.of("id", "kind", "deadline_ms"), Set.of("scheduler", "sum")),
         /** The same request once more on a new connection, as its first one's end crossed it. */
@@ -63,82 +63,82 @@
         /** The watch ended here; nothing follows. */
         CLOSE(Set.of(), Set.of());
 
-        final Set<String> must;
-        final Set<String> may;
+        final Set<String> requiredFields;
+        final Set<String> optionalFields;
 
-        What(Set<String> must, Set<String> may) {
-            this.must = must;
-            this.may = may;
+        Type(Set<String> must, Set<String> may) {
+            this.requiredFields = must;
+            this.optionalFields = may;
         }
 
         /** The word in a history. */
-        public String word() {
+        public String jsonName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /** An event with nothing but these; the others are empty. */
-    public static Event of(long line, long atMs, What what, String id, String worker, String scheduler) {
-        return new Event(line, atMs, what, id, worker, scheduler, "", "", "", "", "", what == What.ATTEMPT ? 1 : 0, atMs, true, false, "");
+    public static Event of(long line, long atMs, Type what, String id, String worker, String scheduler) {
+        return new Event(line, atMs, what, id, worker, scheduler, "", "", "", "", "", what == Type.ATTEMPT ? 1 : 0, atMs, true, false, "");
     }
 
-    /** As {@link #of(long, long, What, String, String, String)}, for a witness that knows line and time itself. */
-    public static Event of(What what, String id, String worker, String scheduler) {
+    /** As {@link #of(long, long, Type, String, String, String)}, for a witness that knows line and time itself. */
+    public static Event of(Type what, String id, String worker, String scheduler) {
         return of(0, 0, what, id, worker, scheduler);
     }
 
     /** An ask. */
     public static Event ask(String id, String scheduler, String kind, long deadlineMs, String sum) {
-        return new Event(0, 0, What.ASK, id, "", scheduler, kind, "", "", sum, "", deadlineMs, 0, true, false, "");
+        return new Event(0, 0, Type.ASK, id, "", scheduler, kind, "", "", sum, "", deadlineMs, 0, true, false, "");
     }
 
     /** The end of an attempt, with the job's result where it was done. */
     public static Event end(String id, String worker, String how, String result) {
-        return new Event(0, 0, What.END, id, worker, "", "", how, result, "", "", 0, 0, true, false, "");
+        return new Event(0, 0, Type.END, id, worker, "", "", how, result, "", "", 0, 0, true, false, "");
     }
 
     /** A client's connection that ended with no whole answer. */
     public static Event cut(String id, boolean kept) {
-        return new Event(0, 0, What.CUT, id, "", "", "", "", "", "", "", 0, 0, true, kept, "");
+        return new Event(0, 0, Type.CUT, id, "", "", "", "", "", "", "", 0, 0, true, kept, "");
     }
 
     /** A worker's place. */
-    public static Event place(String worker, String zone, int cell) {
-        return new Event(0, 0, What.WORKER, "", worker, "", "", "", "", "", zone, cell, 0, true, false, "");
+    public static Event location(String worker, String zone, int cell) {
+        return new Event(0, 0, Type.WORKER, "", worker, "", "", "", "", "", zone, cell, 0, true, false, "");
     }
 
     /** The same at another time. */
     public Event at(long ms) {
-        return new Event(line, ms, what, id, worker, scheduler, kind, how, text, sum, zone, number, ms, told, kept, advice);
+        return new Event(line, ms, type, id, worker, scheduler, kind, how, text, checksum, zone, number, ms, notified, reused, retryAfter);
     }
 
     /** The same with another number and text: an answer's status and body. */
-    public Event answered(int status, String body) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, how, body, sum, zone, status, firstMs, told, kept, advice);
+    public Event withResponse(int status, String body) {
+        return new Event(line, atMs, type, id, worker, scheduler, kind, how, body, checksum, zone, status, firstMs, notified, reused, retryAfter);
     }
 
     /** The same with another manner. */
     public Event how(String other) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, other, "", sum, zone, number, firstMs, told, kept, advice);
+        return new Event(line, atMs, type, id, worker, scheduler, kind, other, "", checksum, zone, number, firstMs, notified, reused, retryAfter);
     }
 
     /** The same with this number. */
     public Event number(double other) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, how, text, sum, zone, other, firstMs, told, kept, advice);
+        return new Event(line, atMs, type, id, worker, scheduler, kind, how, text, checksum, zone, other, firstMs, notified, reused, retryAfter);
     }
 
     /** The same with another sum over what passes on. */
-    public Event sum(String other) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, how, text, other, zone, number, firstMs, told, kept, advice);
+    public Event checksum(String other) {
+        return new Event(line, atMs, type, id, worker, scheduler, kind, how, text, other, zone, number, firstMs, notified, reused, retryAfter);
     }
 
     /** The same, written to the scheduler or not. */
-    public Event told(boolean other) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, how, text, sum, zone, number, firstMs, other, kept, advice);
+    public Event notified(boolean other) {
+        return new Event(line, atMs, type, id, worker, scheduler, kind, how, text, checksum, zone, number, firstMs, other, reused, retryAfter);
     }
 
     /** The same with this advice. */
-    public Event advice(String other) {
-        return new Event(line, atMs, what, id, worker, scheduler, kind, how, text, sum, zone, number, firstMs, told, kept, other);
+    public Event retryAfter(String other) {
+        return new Event(line, atMs, type, id, worker, scheduler, kind, how, text, checksum, zone, number, firstMs, notified, reused, other);
     }
 }
--- a/lab/src/main/java/hookweir/lab/check/BadHistory.java
+++ b/lab/src/main/java/hookweir/lab/check/InvalidHistoryException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** A history that can't be read: file, line and reason. Nothing of such a history is judged. */
-public final class BadHistory extends IOException {
+public final class InvalidHistoryException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    BadHistory(String source, long line, String reason) {
+    InvalidHistoryException(String source, long line, String reason) {
         super(source + ":" + line + ": " + reason);
     }
 }
--- a/lab/src/main/java/hookweir/lab/check/MutateHistory.java
+++ b/lab/src/main/java/hookweir/lab/check/MutateHistory.java
@@ -11,59 +11,59 @@
 
 /** The lab's mutate-history: breaks histories that keep the rules in every place, and says how many breaches are caught. */
 public final class MutateHistory extends Main.Command {
-    private static final int SHOWN = 20;
+    private static final int MAX_SURVIVORS_SHOWN = 20;
 
     @Argument(required = true, metaVar = "FILE", usage = "histories that keep the rules")
     private List<Path> files = new ArrayList<>();
 
     /** How many mutants a way made, and how many were caught. */
-    static final class Tally {
-        private final Map<String, int[]> ways = new TreeMap<>();
+    static final class MutantTally {
+        private final Map<String, int[]> countsByOperator = new TreeMap<>();
         private final List<String> survivors = new ArrayList<>();
 
         /** Judges one. */
-        void take(String source, Terms terms, Mutator.Mutant m) {
-            int[] of = ways.computeIfAbsent(m.way(), w -> new int[2]);
+        void check(String source, RuleLimits terms, Mutator.Mutant m) {
+            int[] of = countsByOperator.computeIfAbsent(m.operator(), w -> new int[2]);
             of[0]++;
             try {
-                List<RuleChecker.Breach> found = RuleChecker.check(new History(source, terms, m.events()));
+                List<RuleChecker.Violation> found = RuleChecker.check(new History(source, terms, m.events()));
                 if (found.stream().anyMatch(b -> b.rule().startsWith(m.rule()))) {
                     of[1]++;
                 } else {
-                    survivors.add(source + ":" + m.line() + ": " + m.way() + " wants " + m.rule() + ", found " + found);
+                    survivors.add(source + ":" + m.line() + ": " + m.operator() + " wants " + m.rule() + ", found " + found);
                 }
-            } catch (BadHistory e) {
-                survivors.add(source + ":" + m.line() + ": " + m.way() + " can't be read: " + e.getMessage());
+            } catch (InvalidHistoryException e) {
+                survivors.add(source + ":" + m.line() + ": " + m.operator() + " can't be read: " + e.getMessage());
             }
         }
 
         /** By way: made and caught. */
-        Map<String, int[]> ways() {
-            return ways;
+        Map<String, int[]> countsByOperator() {
+            return countsByOperator;
         }
 
         List<String> survivors() {
             return survivors;
         }
 
-        int made() {
-            return ways.values().stream().mapToInt(w -> w[0]).sum();
+        int total() {
+            return countsByOperator.values().stream().mapToInt(w -> w[0]).sum();
         }
     }
 
     @Override
     protected int run() throws IOException {
-        Tally tally = new Tally();
+        MutantTally tally = new MutantTally();
         for (Path f : files) {
             History h = History.read(f);
             if (!RuleChecker.check(h).isEmpty()) {
                 throw new IOException(f + ": breaks a rule as it is; only a kept history can be broken");
             }
-            Mutator.mutants(h, m -> tally.take(h.source(), h.terms(), m));
+            Mutator.generate(h, m -> tally.check(h.source(), h.limits(), m));
         }
-        tally.ways().forEach((way, n) -> System.out.printf("%-24s %6d made %6d caught%n", way, n[0], n[1]));
-        System.out.printf("%-24s %6d made %6d caught%n", "all", tally.made(), tally.made() - tally.survivors().size());
-        tally.survivors().stream().limit(SHOWN).forEach(s -> System.out.println("  " + s));
+        tally.countsByOperator().forEach((way, n) -> System.out.printf("%-24s %6d made %6d caught%n", way, n[0], n[1]));
+        System.out.printf("%-24s %6d made %6d caught%n", "all", tally.total(), tally.total() - tally.survivors().size());
+        tally.survivors().stream().limit(MAX_SURVIVORS_SHOWN).forEach(s -> System.out.println("  " + s));
         return tally.survivors().isEmpty() ? 0 : 1;
     }
 
--- a/lab/src/main/java/hookweir/lab/check/Breaches.java
+++ b/lab/src/main/java/hookweir/lab/check/ViolationList.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /** The breaches found: all counted, the first ones kept. */
-final class Breaches {
+final class ViolationList {
     /** So many are kept; a history that breaks a rule more often than that is no better known by the rest. */
-    private static final int KEPT = 1000;
+    private static final int MAX_KEPT = 1000;
 
-    private final List<RuleChecker.Breach> first = new ArrayList<>();
+    private final List<RuleChecker.Violation> kept = new ArrayList<>();
     private long count;
 
     void add(String rule, long line, String detail) {
         count++;
-        if (first.size() < KEPT) {
-            first.add(new RuleChecker.Breach(rule, line, detail));
+        if (kept.size() < MAX_KEPT) {
+            kept.add(new RuleChecker.Violation(rule, line, detail));
         }
     }
 
@@ -24,7 +24,7 @@
     }
 
     /** By the line where they show. */
-    List<RuleChecker.Breach> list() {
-        return first.stream().sorted(Comparator.comparingLong(RuleChecker.Breach::line)).toList();
+    List<RuleChecker.Violation> list() {
+        return kept.stream().sorted(Comparator.comparingLong(RuleChecker.Violation::line)).toList();
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Asker.java
+++ b/lab/src/main/java/hookweir/lab/lives/Asker.java
@@ -1,9 +1,9 @@
 package hookweir.lab.lives;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
-import hookweir.lab.record.Sums;
-import hookweir.lab.record.Witness;
+import hookweir.lab.check.Event.Type;
+import hookweir.lab.record.Checksums;
+import hookweir.lab.record.EventSink;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -22,7 +22,7 @@
     private static final String BODY = "work to be done";
 
     private final Socket socket;
-    private final Witness witness;
+    private final EventSink witness;
     private final String id;
     private final String kind;
     private final Point point;
@@ -35,7 +35,7 @@
     private final Thread thread;
 
     /** Begins; at HEAD_HALF_READ, BODY_HALF_READ and ANSWER_HALF_WRITTEN it waits there until {@link #goOn}. */
-    Asker(int port, String id, String kind, Point point, Witness witness) throws IOException {
+    Asker(int port, String id, String kind, Point point, EventSink witness) throws IOException {
         this.id = id;
         this.kind = kind;
         this.point = point;
@@ -75,8 +75,8 @@
 
     private void asked() {
         String key = kind.equals("load-order") ? "k-" + id : null;
-        witness.saw(Event.ask(id, Life.NAME, kind, DEADLINE_MS,
-            Sums.passed(request, key, BODY.getBytes(StandardCharsets.US_ASCII))));
+        witness.accept(Event.ask(id, Life.NAME, kind, DEADLINE_MS,
+            Checksums.forwarded(request, key, BODY.getBytes(StandardCharsets.US_ASCII))));
         end = End.NOTHING;
     }
 
@@ -99,17 +99,17 @@
             }
             int status = Integer.parseInt(m.first().split(" ")[1]);
             String advice = Wires.header(m.head(), "Retry-After");
-            witness.saw(Event.of(What.ANSWER, id, "", "").answered(status, Sums.text(m.body())).advice(advice == null ? "" : advice));
+            witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(m.body())).retryAfter(advice == null ? "" : advice));
             end = status == 200 ? End.SERVED : status == 429 || status == 503 ? End.REFUSED : End.FAILED;
         } catch (SocketTimeoutException e) {
-            witness.saw(Event.of(What.GONE, id, "", "")); // long after its deadline
+            witness.accept(Event.of(Type.GONE, id, "", "")); // long after its deadline
         }
     }
 
     /** The connection ended with no whole answer. */
     private void lost() {
         if (end == End.NOTHING) {
-            witness.saw(Event.cut(id, false));
+            witness.accept(Event.cut(id, false));
             end = End.LOST;
         }
     }
--- a/lab/src/main/java/hookweir/lab/lives/Life.java
+++ b/lab/src/main/java/hookweir/lab/lives/Life.java
@@ -1,10 +1,10 @@
 package hookweir.lab.lives;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
+import hookweir.lab.check.Event.Type;
 import hookweir.lab.load.Target;
 import hookweir.lab.net.Ports;
-import hookweir.lab.record.Witness;
+import hookweir.lab.record.EventSink;
 import hookweir.lab.standin.Fleet;
 import java.io.File;
 import java.io.IOException;
@@ -28,20 +28,20 @@
     private static final long DEAD_S = 20;
 
     private final ProcessHandle process;
-    private final Witness witness;
+    private final EventSink witness;
     private final String as;
     private final int port;
     private final int debugPort;
     private final Path log;
 
-    private Life(ProcessHandle process, Witness witness, String as, int port, int debugPort, Path log) {
+    private Life(ProcessHandle process, EventSink witness, String as, int port, int debugPort, Path log) {
         this.process = process;
         this.witness = witness;
         this.as = as;
         this.port = port;
         this.debugPort = debugPort;
         this.log = log;
-        witness.saw(Event.of(What.LIFE, "", "", as).how("start"));
+        witness.accept(Event.of(Type.LIFE, "", "", as).how("start"));
     }
 
     /**
@@ -50,12 +50,12 @@
      * @param number of this life among those of the scheduler, from 1
      * @param debugged an Error can be thrown in its loop
      */
-    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, Witness witness) throws IOException {
+    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, EventSink witness) throws IOException {
         return start(root, folder, shared, port, number, debugged, witness, Map.of());
     }
 
-    /** As {@link #start(Path, Path, Holder, int, int, boolean, Witness)}, with further variables in its environment. */
-    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, Witness witness,
+    /** As {@link #start(Path, Path, Holder, int, int, boolean, EventSink)}, with further variables in its environment. */
+    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, EventSink witness,
             Map<String, String> variables) throws IOException {
         int debugPort = debugged ? Ports.free() : 0;
         String run = debugged ? Target.runLine(root).replace(" -jar ", " " + Debugger.flag(debugPort) + " -jar ") : Target.runLine(root);
@@ -138,14 +138,14 @@
 
     /** SIGKILL, and its end. */
     void kill() throws IOException {
-        witness.saw(Event.of(What.LIFE, "", "", as).how("kill"));
+        witness.accept(Event.of(Type.LIFE, "", "", as).how("kill"));
         process.destroyForcibly();
         awaitEnd();
     }
 
     /** An Error in its loop, which ends it: the deed of the rig, as a SIGKILL would be. */
     void strike() throws IOException, InterruptedException {
-        Debugger.strike(debugPort, () -> witness.saw(Event.of(What.LIFE, "", "", as).how("kill")));
+        Debugger.strike(debugPort, () -> witness.accept(Event.of(Type.LIFE, "", "", as).how("kill")));
         awaitEnd();
         if (!Files.readString(log).contains("the loop ended by")) {
             throw new IOException("an Error in the loop did not end the process as it should: " + Files.readString(log));
@@ -154,14 +154,14 @@
 
     /** SIGTERM. */
     void term() throws IOException, InterruptedException {
-        witness.saw(Event.of(What.LIFE, "", "", as).how("term"));
+        witness.accept(Event.of(Type.LIFE, "", "", as).how("term"));
         signal("TERM");
     }
 
     /** Waits until it has ended by itself. */
     void left() throws IOException {
         awaitEnd();
-        witness.saw(Event.of(What.LIFE, "", "", as).how("exit"));
+        witness.accept(Event.of(Type.LIFE, "", "", as).how("exit"));
     }
 
     private void awaitEnd() throws IOException {
--- a/lab/src/main/java/hookweir/lab/lives/ListService.java
+++ b/lab/src/main/java/hookweir/lab/lives/ListService.java
@@ -1,8 +1,8 @@
 package hookweir.lab.lives;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
-import hookweir.lab.record.Witness;
+import hookweir.lab.check.Event.Type;
+import hookweir.lab.record.EventSink;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -20,7 +20,7 @@
 
     private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Workers workers;
-    private final Witness witness;
+    private final EventSink witness;
     private final Set<Socket> watches = ConcurrentHashMap.newKeySet();
     /** Whoever asks for the list waits for this. */
     private volatile CountDownLatch gate = new CountDownLatch(0);
@@ -32,7 +32,7 @@
     /** Calls wait in a queue that is too long, and are refused. */
     private volatile boolean busy;
 
-    ListService(Workers workers, Witness witness) throws IOException {
+    ListService(Workers workers, EventSink witness) throws IOException {
         this.workers = workers;
         this.witness = witness;
         Thread t = new Thread(() -> {
@@ -84,7 +84,7 @@
     /** The second worker drains; half of the line that tells it goes to those who watch. The rest never comes. */
     void drainsInMidLine() throws IOException {
         drains = true;
-        witness.saw(Event.of(What.DRAIN, "", Workers.name(1), Life.NAME).told(false));
+        witness.accept(Event.of(Type.DRAIN, "", Workers.name(1), Life.NAME).notified(false));
         String line = "{\"version\":2,\"full\":false,\"servers\":[" + entry(1, "DRAINING") + "]}\n";
         for (Socket s : watches) {
             Wires.say(s, Integer.toHexString(line.length()) + "\r\n" + line.substring(0, line.length() / 2));
@@ -97,7 +97,7 @@
         drainsAll = true;
         drains = true;
         for (int i = 0; i < WORKERS; i++) {
-            witness.saw(Event.of(What.DRAIN, "", Workers.name(i), Life.NAME).told(false));
+            witness.accept(Event.of(Type.DRAIN, "", Workers.name(i), Life.NAME).notified(false));
         }
         for (Socket s : watches) {
             s.close();
@@ -123,7 +123,7 @@
                 }
                 String list = list();
                 if (drains) {
-                    witness.saw(Event.of(What.DRAIN, "", Workers.name(1), Life.NAME));
+                    witness.accept(Event.of(Type.DRAIN, "", Workers.name(1), Life.NAME));
                 }
                 if (!m.first().contains("watch=1")) {
                     Wires.say(s, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
--- a/lab/src/main/java/hookweir/lab/lives/RandomStops.java
+++ b/lab/src/main/java/hookweir/lab/lives/RandomStops.java
@@ -90,8 +90,8 @@
             fleet.tells(Fleet.local(port));
             Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.list(), fleet.servers()));
             stops(witness, asking, shared, folder, port, kinds, done);
-            witness.end();
-            fault = witness.fault();
+            witness.finish();
+            fault = witness.failure();
         }
         if (fault != null) {
             System.out.println("not judged, " + fault);
@@ -166,10 +166,10 @@
         Map<Integer, Integer> answers = new HashMap<>();
         int asked = 0;
         try (HistoryReader in = HistoryReader.open(history)) {
-            c = new RuleChecker(history.toString(), in.terms());
+            c = new RuleChecker(history.toString(), in.limits());
             for (Event e = in.next(); e != null; e = in.next()) {
-                c.take(e);
-                switch (e.what()) {
+                c.process(e);
+                switch (e.type()) {
                     case ASK -> {
                         asked++;
                         far.put(e.id(), Far.NOT_SENT_ON);
@@ -188,9 +188,9 @@
             c.finish();
         }
         System.out.println("stops " + done + "; asked " + asked + ", answers by status " + answers + ", lost by how far they had come " + lost);
-        System.out.println(history + ": " + (c.count() == 0 ? "kept" : c.count() + " broken") + " (" + c.events() + " events)");
-        c.breaches().stream().limit(20).forEach(b -> System.out.println("  " + b));
-        return c.count() == 0 ? 0 : 1;
+        System.out.println(history + ": " + (c.violationCount() == 0 ? "kept" : c.violationCount() + " broken") + " (" + c.eventCount() + " events)");
+        c.violations().stream().limit(20).forEach(b -> System.out.println("  " + b));
+        return c.violationCount() == 0 ? 0 : 1;
     }
 
     @Override
--- a/lab/src/main/java/hookweir/lab/lives/Scenario.java
+++ b/lab/src/main/java/hookweir/lab/lives/Scenario.java
@@ -2,7 +2,7 @@
 
 import hookweir.lab.check.History;
 import hookweir.lab.check.RuleChecker;
-import hookweir.lab.check.Terms;
+import hookweir.lab.check.RuleLimits;
 import hookweir.lab.net.Ports;
 import hookweir.lab.record.Recorder;
 import java.io.IOException;
@@ -39,13 +39,13 @@
      * @param later    new jobs that the next life served, of those asked
      * @param breaches of the rules over both lives
      */
-    record Result(Scenario scenario, Asker.End end, String later, List<RuleChecker.Breach> breaches) {
+    record Result(Scenario scenario, Asker.End end, String later, List<RuleChecker.Violation> breaches) {
     }
 
-    static Terms terms() {
-        Terms b = Terms.brief();
-        return new Terms(true, Set.of("billing-post"), Map.of("load-order", new Terms.Keyed(Terms.Scope.ZONE, 40_000)), b.maxAttempts(),
-            b.drainMs(), b.slackMs(), b.toldMs(), b.termMs(), b.killMs(), b.coldTimes(), b.coldMs(), GRAIN_MS);
+    static RuleLimits terms() {
+        RuleLimits b = RuleLimits.defaults();
+        return new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)), b.maxAttempts(),
+            b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(), b.coldFactor(), b.coldWindowMs(), GRAIN_MS);
     }
 
     /** The configuration of a scheduler of three classes, one of each effect, and two data centres. */
@@ -70,7 +70,7 @@
         try (Recorder witness = new Recorder(history, terms());
                 Holder shared = point.handOver() || stop == Stop.SUCCESSOR ? new Holder() : null) {
             Result r = new Play(folder, witness, shared).all();
-            witness.end();
+            witness.finish();
             return new Result(this, r.end, r.later, RuleChecker.check(History.read(history)));
         } catch (IOException e) {
             throw new IOException(point + ", " + stop + ", " + kind + ": " + e.getMessage(), e);
--- a/lab/src/main/java/hookweir/lab/lives/Soak.java
+++ b/lab/src/main/java/hookweir/lab/lives/Soak.java
@@ -54,7 +54,7 @@
         int broken = 0;
         for (long seed = first; seed < first + seeds; seed++) {
             SoakPlan plan = SoakPlan.of(seed);
-            List<RuleChecker.Breach> breaches = play(plan);
+            List<RuleChecker.Violation> breaches = play(plan);
             System.out.println("seed " + seed + ": " + (breaches.isEmpty() ? "kept" : breaches.size() + " broken") + "; " + plan);
             breaches.stream().limit(5).forEach(b -> System.out.println("  " + b));
             broken += breaches.isEmpty() ? 0 : 1;
@@ -63,15 +63,15 @@
         return broken == 0 ? 0 : 1;
     }
 
-    private List<RuleChecker.Breach> play(SoakPlan plan) throws IOException, InterruptedException {
+    private List<RuleChecker.Violation> play(SoakPlan plan) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("hw-soak");
         Path history = folder.resolve("history.jsonl");
-        List<RuleChecker.Breach> breaches;
+        List<RuleChecker.Violation> breaches;
         try (Recorder witness = new Recorder(history, Scenario.terms())) {
             new Play(plan, folder, witness).all();
-            witness.end();
-            if (witness.fault() != null) {
-                throw new IOException("seed " + plan.seed() + " was not recorded whole: " + witness.fault());
+            witness.finish();
+            if (witness.failure() != null) {
+                throw new IOException("seed " + plan.seed() + " was not recorded whole: " + witness.failure());
             }
             breaches = RuleChecker.check(History.read(history));
         }
--- a/lab/src/main/java/hookweir/lab/lives/Workers.java
+++ b/lab/src/main/java/hookweir/lab/lives/Workers.java
@@ -1,9 +1,9 @@
 package hookweir.lab.lives;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
-import hookweir.lab.record.Sums;
-import hookweir.lab.record.Witness;
+import hookweir.lab.check.Event.Type;
+import hookweir.lab.record.Checksums;
+import hookweir.lab.record.EventSink;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -29,7 +29,7 @@
 
     private final Point point;
     private final String watched;
-    private final Witness witness;
+    private final EventSink witness;
     private final int scheduler;
     private final List<ServerSocket> doors = new ArrayList<>();
     private final List<Socket> crowd = new ArrayList<>();
@@ -43,7 +43,7 @@
     private volatile boolean closed;
 
     /** Workers for a scenario in which the job of this id is held, round the scheduler on that port. */
-    Workers(Point point, String watched, int scheduler, Witness witness) throws IOException {
+    Workers(Point point, String watched, int scheduler, EventSink witness) throws IOException {
         this.point = point;
         this.watched = watched;
         this.scheduler = scheduler;
@@ -53,7 +53,7 @@
             ServerSocket door = new ServerSocket(0, shut ? 1 : 50, InetAddress.getLoopbackAddress());
             doors.add(door);
             String name = name(i);
-            witness.saw(Event.place(name, i == 0 ? "a" : "b", 0));
+            witness.accept(Event.location(name, i == 0 ? "a" : "b", 0));
             if (shut) {
                 fill(door);
             }
@@ -121,15 +121,15 @@
             for (Wires.Message m = Wires.hear(s.getInputStream()); m != null; m = Wires.hear(s.getInputStream())) {
                 if (m.first().startsWith("POST ")) {
                     String id = Wires.header(m.head(), "Req-Id");
-                    witness.saw(Event.of(What.ATTEMPT, id, name, Life.NAME)
-                        .sum(Sums.passed(m.head(), Wires.header(m.head(), "Idempotency-Key"), m.body())));
+                    witness.accept(Event.of(Type.ATTEMPT, id, name, Life.NAME)
+                        .checksum(Checksums.forwarded(m.head(), Wires.header(m.head(), "Idempotency-Key"), m.body())));
                     unanswered = id;
                     if (answers(s, id, name)) {
                         unanswered = null;
                     }
                 } else if (m.first().startsWith("DELETE ")) {
                     String path = m.first().split(" ")[1];
-                    witness.saw(Event.of(What.CANCEL, path.substring(path.lastIndexOf('/') + 1), name, ""));
+                    witness.accept(Event.of(Type.CANCEL, path.substring(path.lastIndexOf('/') + 1), name, ""));
                     Wires.say(s, OK);
                 } else {
                     Wires.say(s, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=8");
@@ -138,7 +138,7 @@
         } finally {
             open.remove(s);
             if (unanswered != null) {
-                witness.saw(Event.of(What.CANCEL, unanswered, name, "")); // closed before the 202: given up
+                witness.accept(Event.of(Type.CANCEL, unanswered, name, "")); // closed before the 202: given up
             }
         }
     }
@@ -147,7 +147,7 @@
     private boolean answers(Socket s, String id, String name) throws IOException {
         boolean holds = id.equals(watched) && letGo.getCount() > 0;
         if (holds && point == Point.TAKEN_NOT_DRAWN) {
-            witness.saw(Event.end(id, name, "returned", ""));
+            witness.accept(Event.end(id, name, "returned", ""));
             Wires.say(s, DECLINED);
             reached.countDown();
             return true;
@@ -156,7 +156,7 @@
             thread(() -> {
                 reached.countDown();
                 letGo.await();
-                witness.saw(Event.end(id, name, "done", "r-" + id));
+                witness.accept(Event.end(id, name, "done", "r-" + id));
                 try {
                     Wires.say(s, TAKEN);
                 } finally {
@@ -173,7 +173,7 @@
                 reached.countDown();
                 letGo.await();
             }
-            witness.saw(Event.end(id, name, "done", Sums.text(result.getBytes(StandardCharsets.US_ASCII))));
+            witness.accept(Event.end(id, name, "done", Checksums.body(result.getBytes(StandardCharsets.US_ASCII))));
             tell(id, name, result);
         });
         return true;
@@ -197,7 +197,7 @@
                     }
                     Wires.Message m = Wires.hear(s.getInputStream());
                     if (m != null) {
-                        witness.saw(Event.of(What.CALL, id, name, "").number(Integer.parseInt(m.first().split(" ")[1])));
+                        witness.accept(Event.of(Type.CALL, id, name, "").number(Integer.parseInt(m.first().split(" ")[1])));
                         return;
                     }
                 } catch (IOException e) {
--- a/lab/src/main/java/hookweir/lab/load/Bench.java
+++ b/lab/src/main/java/hookweir/lab/load/Bench.java
@@ -2,11 +2,11 @@
 
 import hookweir.lab.check.CheckHistory;
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
-import hookweir.lab.check.Terms;
+import hookweir.lab.check.Event.Type;
+import hookweir.lab.check.RuleLimits;
 import hookweir.lab.net.Reactor;
+import hookweir.lab.record.EventSink;
 import hookweir.lab.record.Recorder;
-import hookweir.lab.record.Witness;
 import hookweir.lab.report.Step;
 import hookweir.lab.standin.Fleet;
 import java.io.IOException;
@@ -43,7 +43,7 @@
     private final Fleet fleet;
     private final Target target;
     private final Recorder recorder;
-    private final Witness witness;
+    private final EventSink witness;
     private final Path record;
     private boolean closed;
     private int spans;
@@ -52,18 +52,18 @@
     public Bench(Setting s) throws IOException, InterruptedException {
         record = s.record;
         recorder = record == null ? null : new Recorder(record, terms());
-        witness = recorder == null ? Witness.NONE : recorder;
-        witness.saw(Event.of(What.LIFE, "", "", PROCESS).how("start"));
+        witness = recorder == null ? EventSink.NONE : recorder;
+        witness.accept(Event.of(Type.LIFE, "", "", PROCESS).how("start"));
         fleet = new Fleet(workers, s.workers, 64, s.serviceMs * 1_000_000L, s.resultBytes, s.freshCalls, witness);
         target = Target.scheduler(Path.of(s.root), s.cpu, fleet.list(), s.aimMs, s.sockets, s.via, s.flags);
         fleet.tells(Fleet.local(target.port()));
     }
 
     /** What the bench's own settings say: one class, safe to repeat, three attempts. */
-    private static Terms terms() {
-        Terms b = Terms.brief();
-        return new Terms(true, Set.of(), Map.of(), Target.MAX_ATTEMPTS, b.drainMs(), b.slackMs(), b.toldMs(), b.termMs(), b.killMs(),
-            b.coldTimes(), b.coldMs(), GRAIN_MS);
+    private static RuleLimits terms() {
+        RuleLimits b = RuleLimits.defaults();
+        return new RuleLimits(true, Set.of(), Map.of(), Target.MAX_ATTEMPTS, b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(),
+            b.coldFactor(), b.coldWindowMs(), GRAIN_MS);
     }
 
     /** Loads it for so long and then waits for the answers that are due. */
@@ -126,11 +126,11 @@
         if (recorder == null) {
             return true;
         }
-        if (recorder.fault() != null) {
-            System.out.println(record + ": not judged, " + recorder.fault());
+        if (recorder.failure() != null) {
+            System.out.println(record + ": not judged, " + recorder.failure());
             return false;
         }
-        return CheckHistory.print(record);
+        return CheckHistory.checkAndPrint(record);
     }
 
     /** Ends all of it; once is enough. */
@@ -140,7 +140,7 @@
             return;
         }
         closed = true;
-        witness.saw(Event.of(What.LIFE, "", "", PROCESS).how(target.isAlive() ? "term" : "exit"));
+        witness.accept(Event.of(Type.LIFE, "", "", PROCESS).how(target.isAlive() ? "term" : "exit"));
         target.close();
         clients.close();
         workers.close();
--- a/lab/src/main/java/hookweir/lab/load/Clients.java
+++ b/lab/src/main/java/hookweir/lab/load/Clients.java
@@ -1,11 +1,11 @@
 package hookweir.lab.load;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
+import hookweir.lab.check.Event.Type;
 import hookweir.lab.net.Peer;
 import hookweir.lab.net.Reactor;
-import hookweir.lab.record.Sums;
-import hookweir.lab.record.Witness;
+import hookweir.lab.record.Checksums;
+import hookweir.lab.record.EventSink;
 import hookweir.lab.standin.Fleet;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -58,7 +58,7 @@
     private final Plan plan;
     private final String idPrefix;
     private final byte[] body;
-    private final Witness witness;
+    private final EventSink witness;
     private final Deque<Client> idle = new ArrayDeque<>();
     private final Deque<Long> due = new ArrayDeque<>();
     private Seen seen = new Seen();
@@ -72,7 +72,7 @@
     private int out;
 
     /** Clients of this thread; the prefix keeps their jobs' ids apart from those of others, and the witness hears of all they see. */
-    public Clients(Reactor reactor, InetSocketAddress to, Plan plan, String idPrefix, Witness witness) {
+    public Clients(Reactor reactor, InetSocketAddress to, Plan plan, String idPrefix, EventSink witness) {
         this.witness = witness;
         this.reactor = reactor;
         this.to = to;
@@ -219,10 +219,10 @@
 
         @Override
         protected void sending() {
-            if (witness.watches() && again) {
-                witness.saw(Event.of(What.AGAIN, id, "", Fleet.SCHEDULER));
-            } else if (witness.watches()) {
-                witness.saw(Event.ask(id, Fleet.SCHEDULER, plan.kind, plan.deadlineMs, Sums.passed(head, null, body)));
+            if (witness.isEnabled() && again) {
+                witness.accept(Event.of(Type.AGAIN, id, "", Fleet.SCHEDULER));
+            } else if (witness.isEnabled()) {
+                witness.accept(Event.ask(id, Fleet.SCHEDULER, plan.kind, plan.deadlineMs, Checksums.forwarded(head, null, body)));
             }
             asked = true;
         }
@@ -238,10 +238,10 @@
             out--;
             long took = Math.min(MOST_NS, Math.max(1, System.nanoTime() - startNs));
             String status = head.substring(9, 12);
-            if (witness.watches()) {
+            if (witness.isEnabled()) {
                 String advice = header(head, "Retry-After");
-                witness.saw(Event.of(What.ANSWER, id, "", "").answered(Integer.parseInt(status), Sums.text(answer))
-                    .advice(advice == null ? "" : advice));
+                witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(Integer.parseInt(status), Checksums.body(answer))
+                    .retryAfter(advice == null ? "" : advice));
             }
             switch (status) {
                 case "200" -> seen.served.recordValue(took);
@@ -291,8 +291,8 @@
             if (waits) {
                 waits = false;
                 out--;
-                if (witness.watches() && asked) {
-                    witness.saw(Event.cut(id, kept));
+                if (witness.isEnabled() && asked) {
+                    witness.accept(Event.cut(id, kept));
                 }
                 if (kept && asked && resends) {
                     resend(System.nanoTime());
--- a/lab/src/main/java/hookweir/lab/record/Witness.java
+++ b/lab/src/main/java/hookweir/lab/record/EventSink.java
@@ -3,25 +3,25 @@
 import hookweir.lab.check.Event;
 
 /** Takes what a stand-in or a client sees, in the order seen; the time is the witness's own. Any thread. */
-public interface Witness {
+public interface EventSink {
     /** Nobody writes it down. */
-    Witness NONE = new Witness() {
+    EventSink NONE = new EventSink() {
         @Override
-        public void saw(Event e) {
+        public void accept(Event e) {
             // nobody asked
         }
 
         @Override
-        public boolean watches() {
+        public boolean isEnabled() {
             return false;
         }
     };
 
     /** Something was seen just now; the event's own time is of no meaning. */
-    void saw(Event e);
+    void accept(Event e);
 
     /** False where nobody writes it down, so that events need not be made. */
-    default boolean watches() {
+    default boolean isEnabled() {
         return true;
     }
 }
--- a/lab/src/main/java/hookweir/lab/record/HistoryWriter.java
+++ b/lab/src/main/java/hookweir/lab/record/HistoryWriter.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.util.MinimalPrettyPrinter;
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Terms;
+import hookweir.lab.check.RuleLimits;
 import java.io.IOException;
 import java.io.Writer;
 import java.util.Locale;
@@ -14,12 +14,12 @@
 final class HistoryWriter implements AutoCloseable {
     private final JsonGenerator json;
 
-    HistoryWriter(Writer to, Terms terms) throws IOException {
+    HistoryWriter(Writer to, RuleLimits terms) throws IOException {
         json = new JsonFactory().createGenerator(to);
         json.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
         json.writeStartObject();
         json.writeStringField("ev", "terms");
-        json.writeNumberField("version", Terms.VERSION);
+        json.writeNumberField("version", RuleLimits.VERSION);
         json.writeBooleanField("recorded", terms.recorded());
         json.writeArrayFieldStart("never_twice");
         for (String c : terms.neverTwice()) {
@@ -27,7 +27,7 @@
         }
         json.writeEndArray();
         json.writeObjectFieldStart("keyed");
-        for (Map.Entry<String, Terms.Keyed> k : terms.keyed().entrySet()) {
+        for (Map.Entry<String, RuleLimits.KeyedClass> k : terms.keyed().entrySet()) {
             json.writeObjectFieldStart(k.getKey());
             json.writeStringField("scope", k.getValue().scope().name().toLowerCase(Locale.ROOT));
             json.writeNumberField("window_ms", k.getValue().windowMs());
@@ -37,12 +37,12 @@
         json.writeNumberField("max_attempts", terms.maxAttempts());
         json.writeNumberField("drain_ms", terms.drainMs());
         json.writeNumberField("slack_ms", terms.slackMs());
-        json.writeNumberField("told_ms", terms.toldMs());
-        json.writeNumberField("term_ms", terms.termMs());
-        json.writeNumberField("kill_ms", terms.killMs());
-        json.writeNumberField("cold_times", terms.coldTimes());
-        json.writeNumberField("cold_ms", terms.coldMs());
-        json.writeNumberField("grain_ms", terms.grainMs());
+        json.writeNumberField("told_ms", terms.noticeDelayMs());
+        json.writeNumberField("term_ms", terms.termGraceMs());
+        json.writeNumberField("kill_ms", terms.killDelayMs());
+        json.writeNumberField("cold_times", terms.coldFactor());
+        json.writeNumberField("cold_ms", terms.coldWindowMs());
+        json.writeNumberField("grain_ms", terms.toleranceMs());
         json.writeEndObject();
     }
 
@@ -50,22 +50,22 @@
     void write(long atMs, Event e) throws IOException {
         json.writeStartObject();
         json.writeNumberField("t_ms", atMs);
-        json.writeStringField("ev", e.what().word());
-        text("id", e.id());
-        text("worker", e.worker());
-        text("scheduler", e.scheduler());
-        text("kind", e.kind());
-        text("how", e.how());
-        text("sum", e.sum());
-        text("retry_after", e.advice());
-        switch (e.what()) {
+        json.writeStringField("ev", e.type().jsonName());
+        writeIfPresent("id", e.id());
+        writeIfPresent("worker", e.worker());
+        writeIfPresent("scheduler", e.scheduler());
+        writeIfPresent("kind", e.kind());
+        writeIfPresent("how", e.how());
+        writeIfPresent("sum", e.checksum());
+        writeIfPresent("retry_after", e.retryAfter());
+        switch (e.type()) {
             case ASK -> json.writeNumberField("deadline_ms", (long) e.number());
             case ANSWER -> {
                 json.writeNumberField("status", (int) e.number());
-                text("body", e.text());
+                writeIfPresent("body", e.text());
             }
             case CALL -> json.writeNumberField("status", (int) e.number());
-            case END -> text("result", e.text());
+            case END -> writeIfPresent("result", e.text());
             case CAPACITY -> json.writeNumberField("per_s", e.number());
             case WORKER -> {
                 json.writeStringField("zone", e.zone());
@@ -76,14 +76,14 @@
                     json.writeNumberField("cost", e.number());
                 }
             }
-            case CUT -> json.writeBooleanField("kept", e.kept());
-            case DRAIN, SERVING -> json.writeBooleanField("told", e.told());
+            case CUT -> json.writeBooleanField("kept", e.reused());
+            case DRAIN, SERVING -> json.writeBooleanField("told", e.notified());
             default -> { }
         }
         json.writeEndObject();
     }
 
-    private void text(String key, String value) throws IOException {
+    private void writeIfPresent(String key, String value) throws IOException {
         if (!value.isEmpty()) {
             json.writeStringField(key, value);
         }
--- a/lab/src/main/java/hookweir/lab/record/Recorder.java
+++ b/lab/src/main/java/hookweir/lab/record/Recorder.java
@@ -1,7 +1,7 @@
 package hookweir.lab.record;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Terms;
+import hookweir.lab.check.RuleLimits;
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
@@ -13,14 +13,14 @@
 /**
  * Writes down what stand-ins and clients see, as a history on one clock. The clock is read under the lock under which an
  * event takes its place, so what one thread saw before another heard of it stands before it. A thread of its own writes.
- * Where the place is full, or the writer falls behind by more than {@link #MOST_BEHIND} events, that is said once and the
+ * Where the place is full, or the writer falls behind by more than {@link #MAX_PENDING_EVENTS} events, that is said once and the
  * history is not judged: a recording is whole or worth nothing.
  */
-public final class Recorder implements Witness, AutoCloseable {
+public final class Recorder implements EventSink, AutoCloseable {
     /** Events that wait to be written, at most. */
-    static final int MOST_BEHIND = 1 << 18;
+    static final int MAX_PENDING_EVENTS = 1 << 18;
 
-    private static final long PATIENCE_MS = 50;
+    private static final long WAIT_MS = 50;
 
     private record Entry(long atMs, Event event) {
     }
@@ -28,20 +28,20 @@
     private final Path file;
     private final HistoryWriter writer;
     private final Thread thread;
-    private final int mostBehind;
+    private final int maxPending;
     private final long startNs = System.nanoTime();
-    private List<Entry> waiting = new ArrayList<>();
-    private String fault;
+    private List<Entry> pending = new ArrayList<>();
+    private String failure;
     private boolean closing;
 
     /** Begins a history in that file; a place that can't be written to is an error at once. */
-    public Recorder(Path file, Terms terms) throws IOException {
-        this(file, open(file), terms, MOST_BEHIND);
+    public Recorder(Path file, RuleLimits terms) throws IOException {
+        this(file, open(file), terms, MAX_PENDING_EVENTS);
     }
 
-    Recorder(Path file, Writer to, Terms terms, int mostBehind) throws IOException {
+    Recorder(Path file, Writer to, RuleLimits terms, int mostBehind) throws IOException {
         this.file = file;
-        this.mostBehind = mostBehind;
+        this.maxPending = mostBehind;
         writer = new HistoryWriter(to, terms);
         thread = new Thread(this::write, "recorder");
         thread.setDaemon(true);
@@ -57,52 +57,52 @@
     }
 
     @Override
-    public synchronized void saw(Event e) {
-        if (fault != null || closing) {
+    public synchronized void accept(Event e) {
+        if (failure != null || closing) {
             return;
         }
-        if (waiting.size() >= mostBehind) {
-            fails("fell behind by " + mostBehind + " events");
+        if (pending.size() >= maxPending) {
+            fail("fell behind by " + maxPending + " events");
             return;
         }
-        waiting.add(new Entry((System.nanoTime() - startNs) / 1_000_000, e));
-        if (waiting.size() == 1) {
+        pending.add(new Entry((System.nanoTime() - startNs) / 1_000_000, e));
+        if (pending.size() == 1) {
             notifyAll();
         }
     }
 
-    private synchronized void fails(String why) {
-        if (fault == null) {
-            fault = why;
-            waiting.clear();
+    private synchronized void fail(String why) {
+        if (failure == null) {
+            failure = why;
+            pending.clear();
             System.err.println("hookweir-lab: --record " + file + ": " + why + "; the run will not be judged");
         }
     }
 
     /** Why the history is not whole; null while it is. */
-    public synchronized String fault() {
-        return fault;
+    public synchronized String failure() {
+        return failure;
     }
 
-    private synchronized List<Entry> next() throws InterruptedException {
-        while (waiting.isEmpty() && !closing) {
-            wait(PATIENCE_MS);
+    private synchronized List<Entry> nextBatch() throws InterruptedException {
+        while (pending.isEmpty() && !closing) {
+            wait(WAIT_MS);
         }
-        List<Entry> taken = waiting;
-        waiting = new ArrayList<>(taken.size());
+        List<Entry> taken = pending;
+        pending = new ArrayList<>(taken.size());
         return taken;
     }
 
     private void write() {
         try {
-            for (List<Entry> batch = next(); !batch.isEmpty(); batch = next()) {
+            for (List<Entry> batch = nextBatch(); !batch.isEmpty(); batch = nextBatch()) {
                 for (Entry e : batch) {
                     writer.write(e.atMs, e.event);
                 }
                 writer.flush();
             }
         } catch (IOException e) {
-            fails(e.toString());
+            fail(e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -110,17 +110,17 @@
 
     @Override
     public void close() throws IOException {
-        end();
+        finish();
     }
 
     /** Ends the history; what is seen from now on is not written. Once is enough. */
-    public void end() throws IOException {
+    public void finish() throws IOException {
         synchronized (this) {
             if (closing) {
                 return;
             }
         }
-        saw(Event.of(Event.What.CLOSE, "", "", ""));
+        accept(Event.of(Event.Type.CLOSE, "", "", ""));
         synchronized (this) {
             closing = true;
             notifyAll();
@@ -133,7 +133,7 @@
         try {
             writer.close();
         } catch (IOException e) {
-            fails(e.toString());
+            fail(e.toString());
         }
     }
 }
--- a/lab/src/main/java/hookweir/lab/standin/Fleet.java
+++ b/lab/src/main/java/hookweir/lab/standin/Fleet.java
@@ -1,11 +1,11 @@
 package hookweir.lab.standin;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
+import hookweir.lab.check.Event.Type;
 import hookweir.lab.net.Peer;
 import hookweir.lab.net.Reactor;
-import hookweir.lab.record.Sums;
-import hookweir.lab.record.Witness;
+import hookweir.lab.record.Checksums;
+import hookweir.lab.record.EventSink;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -40,7 +40,7 @@
     private final List<Integer> ports = new ArrayList<>();
     private final Deque<Caller> idle = new ArrayDeque<>();
     private final Set<String> seen = new HashSet<>();
-    private final Witness witness;
+    private final EventSink witness;
     private final boolean freshCalls;
     /** From a job's end to the answer to its call-back, in µs. */
     private final Histogram calls = new ConcurrentHistogram(TimeUnit.MINUTES.toMicros(2), 3);
@@ -63,7 +63,7 @@
      * @param freshCalls each call-back goes on a connection of its own, as some workers' libraries do
      * @param witness hears of all that they see
      */
-    public Fleet(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCalls, Witness witness) throws IOException {
+    public Fleet(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCalls, EventSink witness) throws IOException {
         this.reactor = reactor;
         this.witness = witness;
         this.freshCalls = freshCalls;
@@ -75,8 +75,8 @@
             int[] busy = new int[1];
             Set<String> had = new HashSet<>();
             ports.add(reactor.listen(0, () -> new Worker(name, busy, had)));
-            if (witness.watches()) {
-                witness.saw(Event.place(name, "a", 0));
+            if (witness.isEnabled()) {
+                witness.accept(Event.location(name, "a", 0));
             }
         }
     }
@@ -182,9 +182,9 @@
                 if (!seen.add(id)) {
                     twice++;
                 }
-                if (witness.watches()) {
+                if (witness.isEnabled()) {
                     had.add(id);
-                    witness.saw(Event.of(What.ATTEMPT, id, name, SCHEDULER).sum(Sums.passed(head, header(head, "Idempotency-Key"), body)));
+                    witness.accept(Event.of(Type.ATTEMPT, id, name, SCHEDULER).checksum(Checksums.forwarded(head, header(head, "Idempotency-Key"), body)));
                 }
                 busy[0]++;
                 write("HTTP/1.1 202 Accepted\r\n" + NO_BODY);
@@ -203,8 +203,8 @@
                 write("HTTP/1.1 200 OK\r\nContent-Length: " + report.length() + "\r\n\r\n" + report);
             } else {
                 String id = head.substring(head.indexOf("/jobs/") + 6, head.indexOf(' ', head.indexOf("/jobs/")));
-                if (witness.watches() && had.contains(id)) {
-                    witness.saw(Event.of(What.CANCEL, id, name, ""));
+                if (witness.isEnabled() && had.contains(id)) {
+                    witness.accept(Event.of(Type.CANCEL, id, name, ""));
                 }
                 write("HTTP/1.1 200 OK\r\n" + NO_BODY);
             }
@@ -212,8 +212,8 @@
 
         private void done(String id) {
             busy[0]--;
-            if (witness.watches()) {
-                witness.saw(Event.end(id, name, "done", Sums.text(result)));
+            if (witness.isEnabled()) {
+                witness.accept(Event.end(id, name, "done", Checksums.body(result)));
             }
             String head = "{\"id\":\"" + id + "\",\"from\":\"" + name + "\",\"state\":\"done\",\"result\":\"";
             Caller caller = freshCalls ? null : idle.pollFirst();
@@ -258,8 +258,8 @@
         protected void message(String head, byte[] body) {
             calling = false;
             tries = 0;
-            if (witness.watches()) {
-                witness.saw(Event.of(What.CALL, id, worker, "").number(Integer.parseInt(head.substring(9, 12))));
+            if (witness.isEnabled()) {
+                witness.accept(Event.of(Type.CALL, id, worker, "").number(Integer.parseInt(head.substring(9, 12))));
             }
             calls.recordValue(Math.min(calls.getHighestTrackableValue(), (System.nanoTime() - begunNs) / 1000));
             if (freshCalls || head.contains("onnection: close")) {
--- a/lab/src/test/java/hookweir/lab/check/PolicyWorld.java
+++ b/lab/src/test/java/hookweir/lab/check/PolicySimulation.java
@@ -14,38 +14,38 @@
  * them, fail them, fall silent, and one drains; clients give up early; half way the scheduler is killed, and a second life
  * of it begins with the list as last held. Time is the world's own, in microseconds.
  */
-final class PolicyWorld implements Contract.Host {
+final class PolicySimulation implements Contract.Host {
     /** A wrong host, for showing that the checker catches it: it copies sends, makes up answers or forgets them. */
     enum Flaw { NONE, COPIES, MAKES_UP, FORGETS }
 
-    private record Due(long atUs, long order, Runnable then) {
+    private record ScheduledAction(long atUs, long order, Runnable action) {
     }
 
     private static final String[] NAMES = {"live-status", "billing-post", "load-order"};
 
     private final Flaw flaw;
     private final Random random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
+    private final PriorityQueue<ScheduledAction> schedule = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
         ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
     private final List<String> lines = new ArrayList<>();
     private final Contract.Settings settings = new Contract.Settings();
     private Policy policy;
-    private final List<Contract.Worker> fleet = new ArrayList<>();
+    private final List<Contract.Worker> workers = new ArrayList<>();
     private final long seed;
-    private int life = 1;
+    private int processNumber = 1;
     private final boolean[] asked;
     private final boolean[] answered;
     private final int[] attempts;
-    private final int[] kindOf;
+    private final int[] classOf;
     private final int[][] workerOf;
     private final boolean[][] ended;
     /** Jobs that each worker holds; it has four slots and tells what is free on each answer. */
-    private final int[] holds = new int[7];
-    private long now;
+    private final int[] jobsHeld = new int[7];
+    private long nowUs;
     private long order;
 
     /** A world of six workers and so many requests, half of them of a class that must never run twice. */
-    PolicyWorld(long seed, int requests, Flaw flaw) {
+    PolicySimulation(long seed, int requests, Flaw flaw) {
         this.flaw = flaw;
         this.seed = seed;
         random = new Random(seed);
@@ -69,7 +69,7 @@
         asked = new boolean[requests + 1];
         answered = new boolean[requests + 1];
         attempts = new int[requests + 1];
-        kindOf = new int[requests + 1];
+        classOf = new int[requests + 1];
         workerOf = new int[requests + 1][settings.maxAttempts];
         ended = new boolean[requests + 1][settings.maxAttempts];
         lines.add("{\"ev\":\"terms\",\"version\":2,\"never_twice\":[\"billing-post\"],\"max_attempts\":5,\"drain_ms\":250,"
@@ -78,151 +78,151 @@
             Contract.Worker e = new Contract.Worker();
             e.id = w;
             e.zone = w % 2;
-            fleet.add(e);
-            seen("\"ev\":\"worker\",\"worker\":\"s-" + w + "\",\"zone\":\"" + e.zone + "\"");
+            workers.add(e);
+            record("\"ev\":\"worker\",\"worker\":\"s-" + w + "\",\"zone\":\"" + e.zone + "\"");
         }
-        begin();
+        startProcess();
         for (int r = 1; r <= requests; r++) {
             int id = r;
-            at(r * 80_000L + random.nextInt(40_000), () -> ask(id));
+            scheduleAt(r * 80_000L + random.nextInt(40_000), () -> sendRequest(id));
         }
-        at(requests * 40_000L, () -> drain(fleet.get(0)));
-        at(requests * 50_000L, this::kill);
+        scheduleAt(requests * 40_000L, () -> drain(workers.get(0)));
+        scheduleAt(requests * 50_000L, this::killAndRestart);
     }
 
-    private void begin() {
-        seen("\"ev\":\"life\",\"scheduler\":\"n1/" + life + "\",\"how\":\"start\"");
-        policy = new Policy(settings, seed + life, this);
-        policy.workerListReceived(now, false, fleet);
+    private void startProcess() {
+        record("\"ev\":\"life\",\"scheduler\":\"n1/" + processNumber + "\",\"how\":\"start\"");
+        policy = new Policy(settings, seed + processNumber, this);
+        policy.workerListReceived(nowUs, false, workers);
     }
 
     /** The next life knows the list as the last one had it, and nothing else. */
-    private void kill() {
-        seen("\"ev\":\"life\",\"scheduler\":\"n1/" + life + "\",\"how\":\"kill\"");
+    private void killAndRestart() {
+        record("\"ev\":\"life\",\"scheduler\":\"n1/" + processNumber + "\",\"how\":\"kill\"");
         for (int id = 1; id < answered.length; id++) {
             if (asked[id] && !answered[id]) {
                 answered[id] = true;
-                seen("\"ev\":\"cut\",\"id\":\"r" + id + "\"");
+                record("\"ev\":\"cut\",\"id\":\"r" + id + "\"");
             }
         }
-        life++;
-        begin();
+        processNumber++;
+        startProcess();
     }
 
     /** Runs the world until ten seconds after its last request: the module's checks of workers recur for good. */
     List<String> run() {
         long endUs = (answered.length + 1) * 80_000L + 10_000_000;
-        while (!due.isEmpty() && due.peek().atUs <= endUs) {
-            Due d = due.poll();
-            now = d.atUs;
-            d.then.run();
+        while (!schedule.isEmpty() && schedule.peek().atUs <= endUs) {
+            ScheduledAction d = schedule.poll();
+            nowUs = d.atUs;
+            d.action.run();
         }
         return lines;
     }
 
-    private void at(long atUs, Runnable then) {
-        due.add(new Due(Math.max(atUs, now), order++, then));
+    private void scheduleAt(long atUs, Runnable then) {
+        schedule.add(new ScheduledAction(Math.max(atUs, nowUs), order++, then));
     }
 
-    private void seen(String json) {
-        lines.add("{\"t_ms\":" + now / 1000 + "," + json + "}");
+    private void record(String json) {
+        lines.add("{\"t_ms\":" + nowUs / 1000 + "," + json + "}");
     }
 
-    private void ask(int id) {
+    private void sendRequest(int id) {
         Contract.Request r = new Contract.Request();
         r.id = id;
         r.requestClass = random.nextInt(NAMES.length);
-        kindOf[id] = r.requestClass;
+        classOf[id] = r.requestClass;
         asked[id] = true;
         r.costHintUs = 200_000;
-        r.deadlineAtUs = now + settings.classes.get(r.requestClass).deadlineUs;
-        seen("\"ev\":\"ask\",\"id\":\"r" + id + "\",\"kind\":\"" + NAMES[r.requestClass]
+        r.deadlineAtUs = nowUs + settings.classes.get(r.requestClass).deadlineUs;
+        record("\"ev\":\"ask\",\"id\":\"r" + id + "\",\"kind\":\"" + NAMES[r.requestClass]
             + "\",\"deadline_ms\":" + settings.classes.get(r.requestClass).deadlineUs / 1000
-            + ",\"scheduler\":\"n1/" + life + "\",\"sum\":\"" + id + "\"");
+            + ",\"scheduler\":\"n1/" + processNumber + "\",\"sum\":\"" + id + "\"");
         if (random.nextInt(10) == 0) {
-            int by = life;
-            at(now + 500_000, () -> {
+            int by = processNumber;
+            scheduleAt(nowUs + 500_000, () -> {
                 if (!answered[id]) {
                     answered[id] = true;
-                    seen("\"ev\":\"gone\",\"id\":\"r" + id + "\"");
-                    if (by == life) {
-                        policy.requestAbandoned(now, id);
+                    record("\"ev\":\"gone\",\"id\":\"r" + id + "\"");
+                    if (by == processNumber) {
+                        policy.requestAbandoned(nowUs, id);
                     }
                 }
             });
         }
-        policy.requestAccepted(now, r);
+        policy.requestAccepted(nowUs, r);
     }
 
     private void drain(Contract.Worker w) {
         w.state = Contract.WorkerState.DRAINING;
-        seen("\"ev\":\"drain\",\"worker\":\"s-" + w.id + "\",\"scheduler\":\"n1/" + life + "\"");
-        policy.workerListReceived(now, true, List.of(w));
+        record("\"ev\":\"drain\",\"worker\":\"s-" + w.id + "\",\"scheduler\":\"n1/" + processNumber + "\"");
+        policy.workerListReceived(nowUs, true, List.of(w));
     }
 
-    private void answer(int id, int status, String body) {
+    private void respond(int id, int status, String body) {
         if (!answered[id]) {
             answered[id] = true;
-            seen("\"ev\":\"answer\",\"id\":\"r" + id + "\",\"status\":" + status + ",\"body\":\"" + body + "\"");
+            record("\"ev\":\"answer\",\"id\":\"r" + id + "\",\"status\":" + status + ",\"body\":\"" + body + "\"");
         }
     }
 
-    private String end(int id, int worker, String how) {
+    private String endEvent(int id, int worker, String how) {
         return "\"ev\":\"end\",\"id\":\"r" + id + "\",\"worker\":\"s-" + worker + "\",\"how\":\"" + how + "\"";
     }
 
     @Override
     public void send(int requestId, int workerId, long withinUs) {
         int attempt = attempts[requestId]++;
-        long sent = now;
-        int by = life;
+        long sent = nowUs;
+        int by = processNumber;
         workerOf[requestId][attempt] = workerId;
-        holds[workerId]++;
-        seen("\"ev\":\"attempt\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + workerId
-            + "\",\"scheduler\":\"n1/" + life + "\",\"sum\":\"" + requestId + "\"");
+        jobsHeld[workerId]++;
+        record("\"ev\":\"attempt\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + workerId
+            + "\",\"scheduler\":\"n1/" + processNumber + "\",\"sum\":\"" + requestId + "\"");
         // Of live-status alone: a copy of another kind that may have run makes what follows it a breach of further rules.
-        if (flaw == Flaw.COPIES && requestId % 50 == 0 && kindOf[requestId] == 0) {
-            seen("\"ev\":\"attempt\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + (workerId >= 5 ? workerId - 2 : workerId == 1 ? 5 : workerId + 2)
-                + "\",\"scheduler\":\"n1/" + life + "\"");
+        if (flaw == Flaw.COPIES && requestId % 50 == 0 && classOf[requestId] == 0) {
+            record("\"ev\":\"attempt\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + (workerId >= 5 ? workerId - 2 : workerId == 1 ? 5 : workerId + 2)
+                + "\",\"scheduler\":\"n1/" + processNumber + "\"");
         }
         int fate = random.nextInt(20);
         Outcome o = fate < 3 ? Outcome.FULL : fate < 4 ? Outcome.RESET : fate < 5 ? Outcome.ERROR
             : fate < 6 ? Outcome.TIMEOUT : Outcome.OK;
         long took = o == Outcome.FULL ? 1000 : o == Outcome.TIMEOUT ? 3_000_000 : 20_000 + random.nextInt(200_000);
-        at(now + took, () -> back(requestId, attempt, workerId, o, now - sent, by));
+        scheduleAt(nowUs + took, () -> completeAttempt(requestId, attempt, workerId, o, nowUs - sent, by));
     }
 
     /** The worker's word on an attempt; a timed-out attempt is given up by the scheduler as the real host does. */
-    private void back(int id, int attempt, int worker, Outcome o, long elapsedUs, int by) {
+    private void completeAttempt(int id, int attempt, int worker, Outcome o, long elapsedUs, int by) {
         if (ended[id][attempt]) {
             return; // called off before: the worker's late word goes to nobody
         }
         ended[id][attempt] = true;
-        holds[worker]--;
-        if (by != life && o == Outcome.TIMEOUT) {
+        jobsHeld[worker]--;
+        if (by != processNumber && o == Outcome.TIMEOUT) {
             return; // the life that would have given it up is over
         }
         switch (o) {
-            case OK -> seen(end(id, worker, "done") + ",\"result\":\"w" + worker + "\"");
-            case FULL -> seen(end(id, worker, "returned"));
-            case ERROR -> seen(end(id, worker, "failed"));
-            case RESET -> seen(end(id, worker, "lost"));
-            default -> seen("\"ev\":\"cancel\",\"id\":\"r" + id + "\",\"worker\":\"s-" + worker + "\"");
+            case OK -> record(endEvent(id, worker, "done") + ",\"result\":\"w" + worker + "\"");
+            case FULL -> record(endEvent(id, worker, "returned"));
+            case ERROR -> record(endEvent(id, worker, "failed"));
+            case RESET -> record(endEvent(id, worker, "lost"));
+            default -> record("\"ev\":\"cancel\",\"id\":\"r" + id + "\",\"worker\":\"s-" + worker + "\"");
         }
         if (o != Outcome.TIMEOUT && random.nextInt(4) == 0) {
-            seen("\"ev\":\"call\",\"id\":\"r" + id + "\",\"worker\":\"s-" + worker + "\",\"status\":204");
+            record("\"ev\":\"call\",\"id\":\"r" + id + "\",\"worker\":\"s-" + worker + "\",\"status\":204");
         }
-        if (by != life) {
+        if (by != processNumber) {
             return;
         }
         boolean closed = o == Outcome.OK && !answered[id];
         if (o == Outcome.OK) {
-            answer(id, 200, "w" + worker);
+            respond(id, 200, "w" + worker);
         }
         Contract.Report load = new Contract.Report();
         load.clear();
-        load.freeSlots = Math.max(0, 4 - holds[worker]);
-        policy.attemptEnded(now, id, attempt, worker, o, elapsedUs, closed, load);
+        load.freeSlots = Math.max(0, 4 - jobsHeld[worker]);
+        policy.attemptEnded(nowUs, id, attempt, worker, o, elapsedUs, closed, load);
     }
 
     @Override
@@ -230,12 +230,12 @@
         if (flaw == Flaw.FORGETS) {
             return;
         }
-        answer(requestId, flaw == Flaw.MAKES_UP ? 200 : 429, "");
+        respond(requestId, flaw == Flaw.MAKES_UP ? 200 : 429, "");
     }
 
     @Override
     public void fail(int requestId) {
-        answer(requestId, 500, "");
+        respond(requestId, 500, "");
     }
 
     /** A DELETE to the worker; the module hears of it on the next turn, never inside its own call. */
@@ -246,12 +246,12 @@
         }
         ended[requestId][attempt] = true;
         int worker = workerOf[requestId][attempt];
-        holds[worker]--;
-        seen("\"ev\":\"cancel\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + worker + "\"");
-        int by = life;
-        at(now, () -> {
-            if (by == life) {
-                policy.attemptEnded(now, requestId, attempt, worker, Outcome.CANCELLED, 0, true, null);
+        jobsHeld[worker]--;
+        record("\"ev\":\"cancel\",\"id\":\"r" + requestId + "\",\"worker\":\"s-" + worker + "\"");
+        int by = processNumber;
+        scheduleAt(nowUs, () -> {
+            if (by == processNumber) {
+                policy.attemptEnded(nowUs, requestId, attempt, worker, Outcome.CANCELLED, 0, true, null);
             }
         });
     }
@@ -262,10 +262,10 @@
 
     @Override
     public void startTimer(long token, long delayUs) {
-        int by = life;
-        at(now + delayUs, () -> {
-            if (by == life) {
-                policy.timerExpired(now, token);
+        int by = processNumber;
+        scheduleAt(nowUs + delayUs, () -> {
+            if (by == processNumber) {
+                policy.timerExpired(nowUs, token);
             }
         });
     }
--- a/lab/src/test/java/hookweir/lab/check/RuleCheckerTest.java
+++ b/lab/src/test/java/hookweir/lab/check/RuleCheckerTest.java
@@ -60,62 +60,62 @@
         "p-changed, P passed on changed",
         "p-call-back, P a call-back answered 500",
         "p-retry-after, P a Retry-After that is no number of seconds"})
-    void eachHistoryGetsItsVerdict(String name, String rule) throws IOException {
-        List<RuleChecker.Breach> found = RuleChecker.check(history(name));
-        assertEquals(rule.isEmpty() ? List.of() : List.of(rule), found.stream().map(RuleChecker.Breach::rule).toList(),
+    void eachHistoryHasExactlyTheExpectedViolations(String name, String rule) throws IOException {
+        List<RuleChecker.Violation> found = RuleChecker.check(history(name));
+        assertEquals(rule.isEmpty() ? List.of() : List.of(rule), found.stream().map(RuleChecker.Violation::rule).toList(),
             name);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void theRealModuleKeepsTheRulesInSeededWorlds(long seed) throws IOException {
-        List<String> lines = new PolicyWorld(seed, 400, PolicyWorld.Flaw.NONE).run();
+    void policyKeepsTheRulesInSeededSimulations(long seed) throws IOException {
+        List<String> lines = new PolicySimulation(seed, 400, PolicySimulation.Flaw.NONE).run();
         History h = History.parse("world " + seed, lines);
-        assertTrue(h.events().stream().filter(e -> e.what() == Event.What.ATTEMPT).count() > 340, "most are sent");
+        assertTrue(h.events().stream().filter(e -> e.type() == Event.Type.ATTEMPT).count() > 340, "most are sent");
         assertEquals(List.of(), RuleChecker.check(h), "seed " + seed);
-        assertEquals(lines, new PolicyWorld(seed, 400, PolicyWorld.Flaw.NONE).run(), "the same seed, the same history");
+        assertEquals(lines, new PolicySimulation(seed, 400, PolicySimulation.Flaw.NONE).run(), "the same seed, the same history");
     }
 
     @ParameterizedTest
     @CsvSource({"COPIES, R2 two attempts out at once", "MAKES_UP, R1 served with what no worker made",
         "FORGETS, R1 no answer within the deadline"})
-    void aWrongHostAroundTheRealModuleIsCaught(PolicyWorld.Flaw flaw, String rule) throws IOException {
-        List<RuleChecker.Breach> found = RuleChecker.check(History.parse("world", new PolicyWorld(5, 400, flaw).run()));
+    void faultyHostAroundThePolicyIsDetected(PolicySimulation.Flaw flaw, String rule) throws IOException {
+        List<RuleChecker.Violation> found = RuleChecker.check(History.parse("world", new PolicySimulation(5, 400, flaw).run()));
         assertTrue(!found.isEmpty() && found.stream().allMatch(b -> b.rule().equals(rule)), flaw + ": " + found);
     }
 
     /** Every way of breaking a rule that the mutator knows, in every place of worlds with all classes and two lives. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14})
-    void everyMutantIsCaught(long seed) throws IOException {
-        History kept = History.parse("world " + seed, new PolicyWorld(seed, 120, PolicyWorld.Flaw.NONE).run());
-        MutateHistory.Tally tally = new MutateHistory.Tally();
-        Mutator.mutants(kept, m -> tally.take(kept.source(), kept.terms(), m));
+    void everyMutantIsDetected(long seed) throws IOException {
+        History kept = History.parse("world " + seed, new PolicySimulation(seed, 120, PolicySimulation.Flaw.NONE).run());
+        MutateHistory.MutantTally tally = new MutateHistory.MutantTally();
+        Mutator.generate(kept, m -> tally.check(kept.source(), kept.limits(), m));
         assertEquals(List.of(), tally.survivors().stream().limit(5).toList());
-        assertTrue(tally.made() > 1500, "made " + tally.made());
+        assertTrue(tally.total() > 1500, "made " + tally.total());
     }
 
     /** A world may lack the place for a way; the kept histories together have one for each. */
     @Test
-    void everyWayIsTriedSomewhere() throws IOException {
-        MutateHistory.Tally tally = new MutateHistory.Tally();
+    void everyMutationOperatorIsUsed() throws IOException {
+        MutateHistory.MutantTally tally = new MutateHistory.MutantTally();
         for (long seed : new long[] {11, 12, 13, 14}) {
-            History kept = History.parse("world", new PolicyWorld(seed, 120, PolicyWorld.Flaw.NONE).run());
-            Mutator.mutants(kept, m -> tally.take(kept.source(), kept.terms(), m));
+            History kept = History.parse("world", new PolicySimulation(seed, 120, PolicySimulation.Flaw.NONE).run());
+            Mutator.generate(kept, m -> tally.check(kept.source(), kept.limits(), m));
         }
         History edges = history("kept-edges");
-        Mutator.mutants(edges, m -> tally.take(edges.source(), edges.terms(), m));
-        tally.ways().forEach((way, n) -> System.out.println("mutants " + way + ": " + n[0] + " made, " + n[1] + " caught"));
+        Mutator.generate(edges, m -> tally.check(edges.source(), edges.limits(), m));
+        tally.countsByOperator().forEach((way, n) -> System.out.println("mutants " + way + ": " + n[0] + " made, " + n[1] + " caught"));
         assertEquals(List.of(), tally.survivors().stream().limit(5).toList());
         assertEquals(List.of("answer-cut", "answer-late", "answer-removed", "answer-twice", "answer-twice-later", "ask-removed",
             "attempt-after-answer", "body-changed", "call-back-turned-away", "cancel-removed", "copy-at-once", "drain-due", "drain-told",
             "keyed-elsewhere", "keyed-late", "killed-as-crashed", "pushed-over", "refused-429", "refused-503", "result-changed",
             "result-made-up", "retry-after-garbled", "returned-after-start", "returned-as-lost", "sent-again", "too-many"),
-            List.copyOf(tally.ways().keySet()));
+            List.copyOf(tally.countsByOperator().keySet()));
     }
 
     @Test
-    void badHistoriesNameTheirLineAndReason() {
+    void invalidHistoryErrorsNameLineAndReason() {
         String ask = "{\"t_ms\":1,\"ev\":\"ask\",\"id\":\"a\",\"kind\":\"k\",\"deadline_ms\":9}\n";
         String[][] cases = {
             {"{\"ev\":\"ask\"}", "world:1: the first line must be the terms"},
@@ -142,14 +142,14 @@
             {"{\"ev\":\"terms\",\"version\":2,\"recorded\":true}\n" + ask, "world:2: ends without its close"},
             {"", "world:1: no terms"}};
         for (String[] c : cases) {
-            BadHistory e = assertThrows(BadHistory.class, () -> RuleChecker.check(History.parse("world", List.of(c[0].split("\n")))), c[1]);
+            InvalidHistoryException e = assertThrows(InvalidHistoryException.class, () -> RuleChecker.check(History.parse("world", List.of(c[0].split("\n")))), c[1]);
             assertTrue(e.getMessage().startsWith(c[1]), e.getMessage());
         }
     }
 
     @Test
-    void aBadFileIsNamed() {
-        BadHistory e = assertThrows(BadHistory.class, () -> history("bad-how"));
+    void invalidHistoryErrorNamesTheFile() {
+        InvalidHistoryException e = assertThrows(InvalidHistoryException.class, () -> history("bad-how"));
         assertTrue(e.getMessage().endsWith("bad-how.jsonl:3: how must be one of [done, failed, lost, refused, returned],"
             + " not 'vanished'"), e.getMessage());
     }
--- a/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
@@ -68,8 +68,8 @@
 
     private void assertKept() throws Exception {
         life.kill();
-        witness.end();
-        List<RuleChecker.Breach> breaches = RuleChecker.check(History.read(folder.resolve("history.jsonl")));
+        witness.finish();
+        List<RuleChecker.Violation> breaches = RuleChecker.check(History.read(folder.resolve("history.jsonl")));
         assertTrue(breaches.isEmpty(), breaches.toString());
     }
 
--- a/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hookweir.lab.net.Ports;
-import hookweir.lab.record.Witness;
+import hookweir.lab.record.EventSink;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -46,7 +46,7 @@
             try {
                 for (int i = 0; System.currentTimeMillis() < endMs; i++) {
                     asked.incrementAndGet();
-                    new Asker(port, "f" + number + "-" + i, "live-status", null, Witness.NONE).end();
+                    new Asker(port, "f" + number + "-" + i, "live-status", null, EventSink.NONE).end();
                 }
             } catch (IOException | InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -63,10 +63,10 @@
         int port = Ports.free();
         Map<String, String> faults = Map.of("LD_PRELOAD", shim().toString(), "FAULTS_PER_MILLE", Integer.toString(perMille),
             "FAULTS_SEED", Integer.toString(seed), "FAULTS_AFTER_MS", Integer.toString(AFTER_MS), "FAULTS_FOR_MS", Integer.toString(FOR_MS));
-        try (Workers workers = new Workers(Point.AFTER_202, "none", port, Witness.NONE); ListService list = new ListService(workers, Witness.NONE)) {
+        try (Workers workers = new Workers(Point.AFTER_202, "none", port, EventSink.NONE); ListService list = new ListService(workers, EventSink.NONE)) {
             Files.writeString(folder.resolve("config.json"), Scenario.config(list.port(), list.list()));
             long end = System.currentTimeMillis() + AFTER_MS + FOR_MS;
-            Life life = Life.start(ROOT, folder, null, port, 1, false, Witness.NONE, faults);
+            Life life = Life.start(ROOT, folder, null, port, 1, false, EventSink.NONE, faults);
             try {
                 life.awaitReady();
                 AtomicInteger asked = new AtomicInteger();
@@ -80,7 +80,7 @@
                 Thread.sleep(SETTLE_MS);
                 int served = 0;
                 for (int i = 0; i < LAST_REQUESTS; i++) {
-                    served += new Asker(port, "last-" + i, "live-status", null, Witness.NONE).end() == Asker.End.SERVED ? 1 : 0;
+                    served += new Asker(port, "last-" + i, "live-status", null, EventSink.NONE).end() == Asker.End.SERVED ? 1 : 0;
                 }
                 assertEquals(LAST_REQUESTS, served, "after " + asked + " under faults: " + life.log());
                 assertTrue(life.isAlive());
--- a/lab/src/test/java/hookweir/lab/record/RecorderTest.java
+++ b/lab/src/test/java/hookweir/lab/record/RecorderTest.java
@@ -7,11 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hookweir.lab.check.Event;
-import hookweir.lab.check.Event.What;
+import hookweir.lab.check.Event.Type;
 import hookweir.lab.check.History;
 import hookweir.lab.check.HistoryReader;
 import hookweir.lab.check.RuleChecker;
-import hookweir.lab.check.Terms;
+import hookweir.lab.check.RuleLimits;
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.file.Files;
@@ -28,21 +28,21 @@
 /** A recording is read back as it was seen, or is known not to be whole. */
 @Timeout(30)
 final class RecorderTest {
-    private static final Terms TERMS = new Terms(true, Set.of("billing-post"), Map.of("load-order", new Terms.Keyed(Terms.Scope.ZONE, 40_000)),
+    private static final RuleLimits LIMITS = new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)),
         3, 250, 50, 6000, 700, 3700, 3, 1000, 20);
 
     @TempDir
     Path folder;
 
     /** What the writer takes, it takes when it is let; then it is full at some byte. */
-    private static final class Slow extends Writer {
+    private static final class GatedWriter extends Writer {
         private final CountDownLatch gate;
-        private final int most;
-        private int taken;
+        private final int capacityChars;
+        private int writtenChars;
 
-        Slow(CountDownLatch gate, int most) {
+        GatedWriter(CountDownLatch gate, int most) {
             this.gate = gate;
-            this.most = most;
+            this.capacityChars = most;
         }
 
         @Override
@@ -52,8 +52,8 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            taken += len;
-            if (taken > most) {
+            writtenChars += len;
+            if (writtenChars > capacityChars) {
                 throw new IOException("No space left on device");
             }
         }
@@ -70,37 +70,37 @@
     }
 
     @Test
-    void everyKindIsReadBackAsItWasSeen() throws IOException {
-        List<Event> seen = new ArrayList<>(List.of(Event.place("s-1", "a", 3), Event.ask("q\"1", "n/1", "billing-post", 900, "5f"),
-            Event.of(What.ATTEMPT, "q\"1", "s-1", "n/1").sum("5f"), Event.of(What.STARTED, "q\"1", "s-1", ""),
-            Event.end("q\"1", "s-1", "done", "r\u00e9s\n"), Event.of(What.CALL, "q\"1", "s-1", "").number(204),
-            Event.of(What.ANSWER, "q\"1", "", "").answered(429, "").advice("0.5"), Event.cut("q\"1", true),
-            Event.of(What.CANCEL, "q\"1", "s-1", ""), Event.of(What.GONE, "q\"1", "", ""), Event.of(What.DRAIN, "", "s-1", "n/1").told(false),
-            Event.of(What.SERVING, "", "s-1", "n/1"), Event.of(What.CAPACITY, "", "s-1", "").number(2.5), Event.of(What.WARM, "", "s-1", ""),
-            Event.of(What.LIFE, "", "", "n/1").how("start"), Event.of(What.AGAIN, "q\"1", "", "n/1")));
+    void everyEventTypeIsReadBackUnchanged() throws IOException {
+        List<Event> seen = new ArrayList<>(List.of(Event.location("s-1", "a", 3), Event.ask("q\"1", "n/1", "billing-post", 900, "5f"),
+            Event.of(Type.ATTEMPT, "q\"1", "s-1", "n/1").checksum("5f"), Event.of(Type.STARTED, "q\"1", "s-1", ""),
+            Event.end("q\"1", "s-1", "done", "r\u00e9s\n"), Event.of(Type.CALL, "q\"1", "s-1", "").number(204),
+            Event.of(Type.ANSWER, "q\"1", "", "").withResponse(429, "").retryAfter("0.5"), Event.cut("q\"1", true),
+            Event.of(Type.CANCEL, "q\"1", "s-1", ""), Event.of(Type.GONE, "q\"1", "", ""), Event.of(Type.DRAIN, "", "s-1", "n/1").notified(false),
+            Event.of(Type.SERVING, "", "s-1", "n/1"), Event.of(Type.CAPACITY, "", "s-1", "").number(2.5), Event.of(Type.WARM, "", "s-1", ""),
+            Event.of(Type.LIFE, "", "", "n/1").how("start"), Event.of(Type.AGAIN, "q\"1", "", "n/1")));
         Path file = folder.resolve("h.jsonl");
-        try (Recorder r = new Recorder(file, TERMS)) {
-            seen.forEach(r::saw);
+        try (Recorder r = new Recorder(file, LIMITS)) {
+            seen.forEach(r::accept);
         }
         History h = History.read(file);
-        assertEquals(TERMS, h.terms());
-        seen.add(Event.of(What.CLOSE, "", "", ""));
-        assertEquals(seen.stream().map(e -> e.at(0)).toList(), h.events().stream().map(e -> new Event(0, 0, e.what(), e.id(), e.worker(),
-            e.scheduler(), e.kind(), e.how(), e.text(), e.sum(), e.zone(), e.number(), 0, e.told(), e.kept(), e.advice())).toList());
+        assertEquals(LIMITS, h.limits());
+        seen.add(Event.of(Type.CLOSE, "", "", ""));
+        assertEquals(seen.stream().map(e -> e.at(0)).toList(), h.events().stream().map(e -> new Event(0, 0, e.type(), e.id(), e.worker(),
+            e.scheduler(), e.kind(), e.how(), e.text(), e.checksum(), e.zone(), e.number(), 0, e.notified(), e.reused(), e.retryAfter())).toList());
     }
 
     /** Many threads at once: time never goes back, and nothing is missing. */
     @Test
-    void whatManyThreadsSeeIsOneHistory() throws Exception {
+    void concurrentEventsFormOneOrderedHistory() throws Exception {
         Path file = folder.resolve("h.jsonl");
-        try (Recorder r = new Recorder(file, TERMS)) {
+        try (Recorder r = new Recorder(file, LIMITS)) {
             List<Thread> threads = new ArrayList<>();
             for (int t = 0; t < 4; t++) {
                 String name = "t" + t + "-";
                 threads.add(new Thread(() -> {
                     for (int i = 0; i < 5000; i++) {
-                        r.saw(Event.ask(name + i, "n", "k", 60_000, ""));
-                        r.saw(Event.of(What.GONE, name + i, "", ""));
+                        r.accept(Event.ask(name + i, "n", "k", 60_000, ""));
+                        r.accept(Event.of(Type.GONE, name + i, "", ""));
                     }
                 }));
             }
@@ -111,50 +111,50 @@
         }
         try (HistoryReader in = HistoryReader.open(file)) {
             RuleChecker c = RuleChecker.check("h", in);
-            assertEquals(0, c.count());
-            assertEquals(40_001, c.events());
+            assertEquals(0, c.violationCount());
+            assertEquals(40_001, c.eventCount());
         }
     }
 
     @Test
-    void aPlaceThatCanNotBeWrittenToIsAnErrorAtOnce() {
-        IOException e = assertThrows(IOException.class, () -> new Recorder(folder.resolve("missing/h.jsonl"), TERMS));
+    void unwritablePathFailsImmediately() {
+        IOException e = assertThrows(IOException.class, () -> new Recorder(folder.resolve("missing/h.jsonl"), LIMITS));
         assertTrue(e.getMessage().startsWith("--record ") && e.getMessage().contains("can't be written"), e.getMessage());
     }
 
     /** A full place is said once; what was written up to it can't pass for a whole history. */
     @Test
-    void aPlaceThatFillsLeavesNoHistory() throws Exception {
-        Writer full = new Slow(new CountDownLatch(0), 600);
-        Recorder r = new Recorder(folder.resolve("h.jsonl"), full, TERMS, 1000);
-        while (r.fault() == null) {
-            r.saw(Event.of(What.WARM, "", "s-1", ""));
+    void fullDiskInvalidatesTheRecording() throws Exception {
+        Writer full = new GatedWriter(new CountDownLatch(0), 600);
+        Recorder r = new Recorder(folder.resolve("h.jsonl"), full, LIMITS, 1000);
+        while (r.failure() == null) {
+            r.accept(Event.of(Type.WARM, "", "s-1", ""));
             Thread.sleep(1);
         }
         r.close();
-        assertTrue(r.fault().contains("No space left"), r.fault());
+        assertTrue(r.failure().contains("No space left"), r.failure());
     }
 
     /** The bound on what waits to be written: the first event beyond it ends the recording, not the run. */
     @Test
-    void aWriterThatFallsBehindIsSaid() throws Exception {
+    void slowWriterInvalidatesTheRecording() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
-        Recorder r = new Recorder(folder.resolve("h.jsonl"), new Slow(gate, 1 << 20), TERMS, 8);
-        for (int i = 0; i < 8 + 8 + 1 && r.fault() == null; i++) {
-            r.saw(Event.of(What.WARM, "", "s-1", ""));
+        Recorder r = new Recorder(folder.resolve("h.jsonl"), new GatedWriter(gate, 1 << 20), LIMITS, 8);
+        for (int i = 0; i < 8 + 8 + 1 && r.failure() == null; i++) {
+            r.accept(Event.of(Type.WARM, "", "s-1", ""));
         }
-        assertNotNull(r.fault());
-        assertTrue(r.fault().startsWith("fell behind by 8 events"), r.fault());
+        assertNotNull(r.failure());
+        assertTrue(r.failure().startsWith("fell behind by 8 events"), r.failure());
         gate.countDown();
         r.close();
     }
 
     @Test
-    void aRecordingWithoutItsCloseIsRefused() throws IOException {
+    void recordingWithoutCloseIsRejected() throws IOException {
         Path file = folder.resolve("h.jsonl");
-        try (Recorder r = new Recorder(file, TERMS)) {
-            r.saw(Event.of(What.WARM, "", "s-1", ""));
-            assertNull(r.fault());
+        try (Recorder r = new Recorder(file, LIMITS)) {
+            r.accept(Event.of(Type.WARM, "", "s-1", ""));
+            assertNull(r.failure());
         }
         List<String> lines = Files.readAllLines(file);
         Files.write(file, lines.subList(0, lines.size() - 1));
