--- a/core/src/main/java/hookweir/membership/WorkerStartTimes.java
+++ b/core/src/main/java/hookweir/membership/WorkerStartTimes.java
@@ -17,7 +17,7 @@
     /** The list's stamp of a worker that started long ago. */
     private static final long LONG_AGO = 0;
 
-    private record Start(long stampUs, long startedUs) {
+    private record Start(long timestampUs, long startedUs) {
     }
 
     private final Map<Integer, Start> starts = new LinkedHashMap<>(16, 0.75f, true) {
@@ -43,7 +43,7 @@
             return LONG_AGO;
         }
         Start known = starts.get(id);
-        if (known != null && known.stampUs == stampUs) {
+        if (known != null && known.timestampUs == stampUs) {
             return known.startedUs;
         }
         long earliest = listHeld ? nowUs - MAX_LIST_DELAY_US : Long.MIN_VALUE;
--- a/core/src/test/java/hookweir/membership/ListLeaseExhaustiveTest.java
+++ b/core/src/test/java/hookweir/membership/ListLeaseExhaustiveTest.java
@@ -17,40 +17,40 @@
 final class ListLeaseExhaustiveTest {
     private static final long STEP_US = 1_000_000;
     private static final int STEPS = 18;
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NEVER_US = Long.MAX_VALUE;
     /** A silent watch is noticed after so many steps. */
     private static final int SILENCE_STEPS = 3;
 
     private enum Watch { NONE, OPEN, SILENT }
 
     /** What happens in a step before the scheduler acts. */
-    private enum Step { NOTHING, GOES_DOWN, COMES_UP, CHANGES, WATCH_FALLS_SILENT, WATCH_IS_CUT, PROCESS_STARTS, MOVES }
+    private enum Step { NOTHING, SERVICE_GOES_DOWN, SERVICE_COMES_UP, LIST_CHANGES, WATCH_FALLS_SILENT, WATCH_ENDS, PROCESS_STARTS, SERVICE_MOVES }
 
     /** How the service deals with a call while it is up. */
-    private enum Mood { ANSWERS, BUSY }
+    private enum CallResult { ANSWERED, BUSY }
 
     /** The world at the end of a step; times are steps. */
-    private static final class World {
+    private static final class ModelState {
         ListLease lease = new ListLease(false);
         int now;
         boolean up = true;
         Watch watch = Watch.NONE;
-        int silentFor;
-        boolean changed;
-        boolean delivered;
-        long toldUs = NEVER;
+        int silentSteps;
+        boolean listChanged;
+        boolean changeDelivered;
+        long notifiedByUs = NEVER_US;
         boolean restarted;
         boolean moved;
-        boolean outageSeen;
+        boolean outageHappened;
         /** The events so far, for messages. */
         String history = "";
 
-        World next(Step step, Mood mood, boolean refusedWhileDown) {
-            World w = copy();
+        ModelState next(Step step, CallResult mood, boolean refusedWhileDown) {
+            ModelState w = copy();
             w.now++;
-            w.history += " " + step + (mood == Mood.BUSY ? "/busy" : "") + (refusedWhileDown ? "" : "/mute");
-            w.happens(step);
-            w.schedulerActs(mood, refusedWhileDown);
+            w.history += " " + step + (mood == CallResult.BUSY ? "/busy" : "") + (refusedWhileDown ? "" : "/mute");
+            w.applyStep(step);
+            w.runScheduler(mood, refusedWhileDown);
             return w;
         }
 
@@ -58,44 +58,44 @@
             return now * STEP_US;
         }
 
-        private void happens(Step step) {
+        private void applyStep(Step step) {
             switch (step) {
-                case GOES_DOWN -> {
+                case SERVICE_GOES_DOWN -> {
                     up = false;
-                    outageSeen = true;
+                    outageHappened = true;
                     endWatch();
                 }
-                case COMES_UP -> {
+                case SERVICE_COMES_UP -> {
                     up = true;
-                    countsFrom(nowUs());
+                    startNotificationDeadline(nowUs());
                 }
-                case CHANGES -> {
-                    changed = true;
-                    delivered = up && watch == Watch.OPEN;
+                case LIST_CHANGES -> {
+                    listChanged = true;
+                    changeDelivered = up && watch == Watch.OPEN;
                     if (up) {
-                        countsFrom(nowUs());
+                        startNotificationDeadline(nowUs());
                     }
                 }
                 case WATCH_FALLS_SILENT -> watch = Watch.SILENT;
-                case WATCH_IS_CUT -> endWatch();
+                case WATCH_ENDS -> endWatch();
                 case PROCESS_STARTS -> {
                     restarted = true;
                     watch = Watch.NONE;
                     lease = new ListLease(false);
                 }
-                case MOVES -> {
+                case SERVICE_MOVES -> {
                     moved = true;
                     watch = Watch.NONE;
                     lease.serviceMoved(nowUs());
-                    toldUs = changed && !delivered ? Math.min(toldUs, nowUs() + ListLease.MOVE_NOTIFICATION_DEADLINE_US) : toldUs;
+                    notifiedByUs = listChanged && !changeDelivered ? Math.min(notifiedByUs, nowUs() + ListLease.MOVE_NOTIFICATION_DEADLINE_US) : notifiedByUs;
                 }
                 default -> { }
             }
         }
 
-        private void countsFrom(long us) {
-            if (changed && !delivered) {
-                toldUs = Math.min(toldUs, us + ListLease.NOTIFICATION_DEADLINE_US);
+        private void startNotificationDeadline(long us) {
+            if (listChanged && !changeDelivered) {
+                notifiedByUs = Math.min(notifiedByUs, us + ListLease.NOTIFICATION_DEADLINE_US);
             }
         }
 
@@ -104,90 +104,90 @@
                 lease.callFailed(ListCallFailure.WATCH_ENDED, nowUs());
             } else if (watch == Watch.SILENT) {
                 // An end that is seen after a silence: what came between is unknown.
-                lease.callFailed(silentFor > 0 ? ListCallFailure.WATCH_SILENT : ListCallFailure.WATCH_ENDED, nowUs());
+                lease.callFailed(silentSteps > 0 ? ListCallFailure.WATCH_SILENT : ListCallFailure.WATCH_ENDED, nowUs());
             }
             watch = Watch.NONE;
-            silentFor = 0;
+            silentSteps = 0;
         }
 
-        private void schedulerActs(Mood mood, boolean refusedWhileDown) {
-            if (watch == Watch.SILENT && ++silentFor >= SILENCE_STEPS) {
+        private void runScheduler(CallResult mood, boolean refusedWhileDown) {
+            if (watch == Watch.SILENT && ++silentSteps >= SILENCE_STEPS) {
                 lease.callFailed(ListCallFailure.WATCH_SILENT, nowUs());
                 watch = Watch.NONE;
-                silentFor = 0;
+                silentSteps = 0;
             }
             if (watch == Watch.OPEN) {
                 lease.confirmed(nowUs());
-            } else if (watch == Watch.NONE && up && mood == Mood.ANSWERS) {
+            } else if (watch == Watch.NONE && up && mood == CallResult.ANSWERED) {
                 watch = Watch.OPEN;
-                delivered = changed;
+                changeDelivered = listChanged;
                 lease.confirmed(nowUs());
             } else if (watch == Watch.NONE) {
                 lease.callFailed(!up && refusedWhileDown ? ListCallFailure.REFUSED : ListCallFailure.UNANSWERED, nowUs());
             }
         }
 
-        boolean mayHappen(Step step) {
+        boolean isPossible(Step step) {
             return switch (step) {
                 case NOTHING -> true;
-                case GOES_DOWN -> up && !outageSeen;
-                case COMES_UP -> !up;
-                case CHANGES -> !changed;
-                case WATCH_FALLS_SILENT, WATCH_IS_CUT -> watch == Watch.OPEN;
+                case SERVICE_GOES_DOWN -> up && !outageHappened;
+                case SERVICE_COMES_UP -> !up;
+                case LIST_CHANGES -> !listChanged;
+                case WATCH_FALLS_SILENT, WATCH_ENDS -> watch == Watch.OPEN;
                 // A change between two processes, just before an outage, is what the lease does not guard against.
-                case PROCESS_STARTS -> !restarted && (up || !changed || delivered);
-                case MOVES -> !moved && up;
+                case PROCESS_STARTS -> !restarted && (up || !listChanged || changeDelivered);
+                case SERVICE_MOVES -> !moved && up;
             };
         }
 
         /** The change counts as told, was not read, and the lease lets an attempt begin. */
-        boolean isBroken() {
-            return changed && !delivered && nowUs() >= toldUs && lease.isValidAt(nowUs());
+        boolean violatesLease() {
+            return listChanged && !changeDelivered && nowUs() >= notifiedByUs && lease.isValidAt(nowUs());
         }
 
         /** What decides all that may come; worlds that differ in times alone are one. */
-        String key() {
+        String stateKey() {
             long left = Math.max(-1, lease.expiresAtUs() - nowUs());
-            long toTold = toldUs == NEVER ? NEVER : Math.max(-1, toldUs - nowUs());
-            return up + "," + watch + silentFor + changed + delivered + restarted + moved + outageSeen + lease.phase() + "," + left + "," + toTold
+            long toTold = notifiedByUs == NEVER_US ? NEVER_US : Math.max(-1, notifiedByUs - nowUs());
+            return up + "," + watch + silentSteps + listChanged + changeDelivered + restarted + moved + outageHappened + lease.phase() + "," + left + "," + toTold
                 + "," + lease;
         }
 
-        private World copy() {
-            World w = new World();
+        private ModelState copy() {
+            ModelState w = new ModelState();
             w.lease = lease.copy();
             w.now = now;
             w.up = up;
             w.watch = watch;
-            w.silentFor = silentFor;
-            w.changed = changed;
-            w.delivered = delivered;
-            w.toldUs = toldUs;
+            w.silentSteps = silentSteps;
+            w.listChanged = listChanged;
+            w.changeDelivered = changeDelivered;
+            w.notifiedByUs = notifiedByUs;
             w.restarted = restarted;
             w.moved = moved;
-            w.outageSeen = outageSeen;
+            w.outageHappened = outageHappened;
             w.history = history;
             return w;
         }
     }
 
     @Test
-    void noOrderLetsAnAttemptBeginByAListThatIsOutOfDate() {
+    void noEventOrderPermitsAnAttemptByAnOutdatedList() {
         Set<String> seen = new HashSet<>();
-        Deque<World> open = new ArrayDeque<>();
-        open.add(new World());
+        Deque<ModelState> open = new ArrayDeque<>();
+        open.add(new ModelState());
         int worlds = 0;
         while (!open.isEmpty()) {
-            World world = open.poll();
+            ModelState world = open.poll();
             for (Step step : Step.values()) {
-                for (Mood mood : Mood.values()) {
+                for (CallResult mood : CallResult.values()) {
                     for (boolean refused : new boolean[] {true, false}) {
-                        if (!world.mayHappen(step)) {
+                        if (!world.isPossible(step)) {
                             continue;
                         }
-                        World next = world.next(step, mood, refused);
-                        assertTrue(!next.isBroken(), () -> "an attempt may begin after" + next.history);
-                        if (next.now < STEPS && seen.add(next.key() + next.now)) {
+                        ModelState next = world.next(step, mood, refused);
+                        assertTrue(!next.violatesLease(), () -> "an attempt may begin after" + next.history);
+                        if (next.now < STEPS && seen.add(next.stateKey() + next.now)) {
                             open.add(next);
                             worlds++;
                         }
@@ -200,15 +200,15 @@
 
     /** The exploration sees what it is there for: without a lease it finds the incident. */
     @Test
-    void theWorldsBringTheIncident() {
-        World world = new World();
-        world = world.next(Step.NOTHING, Mood.ANSWERS, true);
-        world = world.next(Step.WATCH_IS_CUT, Mood.BUSY, true);
-        world = world.next(Step.CHANGES, Mood.BUSY, true);
+    void exploredStatesIncludeAnUndeliveredChange() {
+        ModelState world = new ModelState();
+        world = world.next(Step.NOTHING, CallResult.ANSWERED, true);
+        world = world.next(Step.WATCH_ENDS, CallResult.BUSY, true);
+        world = world.next(Step.LIST_CHANGES, CallResult.BUSY, true);
         for (int i = 0; i < 6; i++) {
-            world = world.next(Step.NOTHING, Mood.BUSY, true);
+            world = world.next(Step.NOTHING, CallResult.BUSY, true);
         }
-        assertTrue(world.changed && !world.delivered && world.nowUs() >= world.toldUs);
+        assertTrue(world.listChanged && !world.changeDelivered && world.nowUs() >= world.notifiedByUs);
         assertEquals(false, world.lease.isValidAt(world.nowUs()));
     }
 }
--- a/core/src/test/java/hookweir/membership/ListLeaseTransitionsTest.java
+++ b/core/src/test/java/hookweir/membership/ListLeaseTransitionsTest.java
@@ -13,13 +13,13 @@
     private static final long TERM_US = ListLease.NOTIFICATION_DEADLINE_US - ListLease.SAFETY_MARGIN_US;
     private final ListLease lease = new ListLease(false);
 
-    private void refusedTwice(long atUs) {
+    private void refuseTwice(long atUs) {
         lease.callFailed(ListCallFailure.REFUSED, atUs);
         lease.callFailed(ListCallFailure.REFUSED, atUs);
     }
 
     @Test
-    void nothingIsSentBeforeTheListServiceHasSpoken() {
+    void nothingIsSentBeforeTheFirstList() {
         assertTrue(lease.isPending());
         assertFalse(lease.isValidAt(START_US));
         lease.confirmed(START_US);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void oneRefusalIsNotYetOutOfReach() {
+    void oneRefusalDoesNotMeanUnreachable() {
         lease.callFailed(ListCallFailure.REFUSED, START_US);
         assertEquals(Phase.PENDING, lease.phase());
         assertFalse(lease.isValidAt(START_US));
@@ -39,7 +39,7 @@
 
     /** The process takes clients after a while, but sends nothing by a list that may be out of date. */
     @Test
-    void aBusyListServiceIsWaitedFor() {
+    void aBusyListServiceExtendsNothing() {
         for (int i = 0; i < 10; i++) {
             lease.callFailed(ListCallFailure.REFUSED, START_US);
             lease.callFailed(ListCallFailure.UNANSWERED, START_US);
@@ -48,12 +48,12 @@
         lease.startTimeoutReached(START_US);
         assertEquals(Phase.CACHED, lease.phase());
         assertFalse(lease.isValidAt(START_US));
-        refusedTwice(START_US);
+        refuseTwice(START_US);
         assertFalse(lease.isValidAt(START_US), "something may have been missed before it went out of reach");
     }
 
     @Test
-    void aListThatComesLateIsTakenOver() {
+    void aListAfterTheStartTimeoutIsUsed() {
         lease.startTimeoutReached(START_US);
         lease.confirmed(START_US);
         assertEquals(Phase.CONFIRMED, lease.phase());
@@ -61,15 +61,15 @@
     }
 
     @Test
-    void whatIsConfirmedStaysSo() {
+    void confirmedPhaseIsFinal() {
         lease.confirmed(START_US);
         lease.startTimeoutReached(START_US);
-        refusedTwice(START_US);
+        refuseTwice(START_US);
         assertEquals(Phase.CONFIRMED, lease.phase());
     }
 
     @Test
-    void aConfirmationIsGoodForATermFromWhenItMayHaveBeenWritten() {
+    void aConfirmationGrantsOneTermFromItsEarliestWriteTime() {
         lease.confirmed(START_US);
         assertEquals(START_US + TERM_US, lease.expiresAtUs());
         assertTrue(lease.isValidAt(START_US + TERM_US - 1));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void answersWithoutAListExtendNothing() {
+    void responsesWithoutAListExtendNothing() {
         lease.confirmed(START_US);
         lease.callFailed(ListCallFailure.WATCH_ENDED, START_US);
         lease.callFailed(ListCallFailure.UNANSWERED, START_US + 2_000_000);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void anOutageOfWhichNothingWasMissedExtendsIt() {
+    void anOutageWithoutMissedUpdatesExtendsTheLease() {
         lease.confirmed(START_US);
         lease.callFailed(ListCallFailure.WATCH_ENDED, START_US);
         for (int s = 1; s < 60; s++) {
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aSilentWatchMayHaveMissedSomethingBeforeAnOutage() {
+    void aSilentWatchBeforeAnOutageExtendsNothing() {
         lease.confirmed(START_US);
         lease.callFailed(ListCallFailure.WATCH_SILENT, START_US);
         lease.callFailed(ListCallFailure.REFUSED, START_US + 3_000_000);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aMoveShortensItUntilTheNewServiceHasSpoken() {
+    void aMoveShortensTheLeaseUntilTheNewServiceConfirms() {
         lease.confirmed(START_US);
         lease.serviceMoved(START_US);
         long end = START_US + ListLease.MOVE_NOTIFICATION_DEADLINE_US - ListLease.SAFETY_MARGIN_US;
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aSilentAgentLearnsNothing() {
+    void aSilentAgentExtendsTheLease() {
         lease.setListsPushed(true);
         lease.startTimeoutReached(START_US);
         assertTrue(lease.isValidAt(START_US));
--- a/core/src/test/java/hookweir/membership/WorkerStartTimesTest.java
+++ b/core/src/test/java/hookweir/membership/WorkerStartTimesTest.java
@@ -10,42 +10,42 @@
 /** Clocks that disagree by seconds or an hour, both ways, make no worker that has just started look warm, nor cold for longer. */
 final class WorkerStartTimesTest {
     private static final long NOW_US = 1_700_000_000_000_000L;
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     private final WorkerStartTimes starts = new WorkerStartTimes();
 
     @ParameterizedTest
     @ValueSource(longs = {-3600, -30, -11, -1, 0, 5, 3600})
-    void aStartThatIsNewsIsRecentWhateverItsStamp(long aheadS) {
-        long started = starts.startTimeUs(1, NOW_US + (aheadS - 2) * S, NOW_US, true);
+    void aNewStartIsRecentWhateverItsTimestamp(long aheadS) {
+        long started = starts.startTimeUs(1, NOW_US + (aheadS - 2) * SECOND_US, NOW_US, true);
         assertTrue(started <= NOW_US && started >= NOW_US - WorkerStartTimes.MAX_LIST_DELAY_US, "age " + (NOW_US - started));
     }
 
     @Test
-    void aStampThatFitsIsBelieved() {
-        assertEquals(NOW_US - 3 * S, starts.startTimeUs(1, NOW_US - 3 * S, NOW_US, true));
-        assertEquals(NOW_US - 60 * S, starts.startTimeUs(2, NOW_US - 60 * S, NOW_US, false));
+    void aPlausibleTimestampIsUsed() {
+        assertEquals(NOW_US - 3 * SECOND_US, starts.startTimeUs(1, NOW_US - 3 * SECOND_US, NOW_US, true));
+        assertEquals(NOW_US - 60 * SECOND_US, starts.startTimeUs(2, NOW_US - 60 * SECOND_US, NOW_US, false));
     }
 
     @Test
-    void aWorkerKeepsItsAgeThroughLaterListsAndAnAbsence() {
-        long started = starts.startTimeUs(1, NOW_US - 3600 * S, NOW_US, true);
-        assertEquals(started, starts.startTimeUs(1, NOW_US - 3600 * S, NOW_US + 60 * S, true));
+    void aWorkerKeepsItsAgeInLaterLists() {
+        long started = starts.startTimeUs(1, NOW_US - 3600 * SECOND_US, NOW_US, true);
+        assertEquals(started, starts.startTimeUs(1, NOW_US - 3600 * SECOND_US, NOW_US + 60 * SECOND_US, true));
     }
 
     @Test
-    void aRestartIsNew() {
-        starts.startTimeUs(1, NOW_US - 3 * S, NOW_US, true);
-        assertEquals(NOW_US + 50 * S, starts.startTimeUs(1, NOW_US + 3600 * S, NOW_US + 50 * S, true));
+    void aRestartGetsANewStartTime() {
+        starts.startTimeUs(1, NOW_US - 3 * SECOND_US, NOW_US, true);
+        assertEquals(NOW_US + 50 * SECOND_US, starts.startTimeUs(1, NOW_US + 3600 * SECOND_US, NOW_US + 50 * SECOND_US, true));
     }
 
     @Test
-    void longAgoIsLongAgo() {
+    void zeroMeansLongAgo() {
         assertEquals(0, starts.startTimeUs(1, 0, NOW_US, true));
         assertEquals(0, starts.size());
     }
 
     @Test
-    void daysOfReplacedWorkersAreNotRemembered() {
+    void theNumberOfRememberedWorkersIsLimited() {
         for (int id = 0; id < 3 * WorkerStartTimes.MAX_WORKERS; id++) {
             starts.startTimeUs(id, NOW_US, NOW_US, true);
         }
--- a/core/src/test/java/hookweir/timer/TimerWheelTest.java
+++ b/core/src/test/java/hookweir/timer/TimerWheelTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class TimerWheelTest {
-    private static final Runnable NOTHING = () -> { };
+    private static final Runnable NO_OP = () -> { };
 
     /** Against a plain sorted map: each comes due once, never early, at most a tick late, unless it was cancelled. */
     @Property(tries = 40)
@@ -57,7 +57,7 @@
 
     /** What is kept of a million cancelled timers is nothing: neither places nor tasks. */
     @Test
-    void aMillionCancelledLeaveNothing() {
+    void cancelledTimersUseNoMemory() {
         TimerWheel wheel = new TimerWheel(0);
         WeakReference<Object> seen = null;
         for (int i = 0; i < 1_000_000; i++) {
@@ -77,11 +77,11 @@
 
     /** A timer that is due and not yet handed out can be cancelled by the one before it. */
     @Test
-    void theOneBeforeCancels() {
+    void aDueTimerCanBeCancelled() {
         TimerWheel wheel = new TimerWheel(0);
-        wheel.schedule(10_000, NOTHING);
-        TimerWheel.Timer second = wheel.schedule(10_000, NOTHING);
-        assertEquals(NOTHING, wheel.poll(20_000));
+        wheel.schedule(10_000, NO_OP);
+        TimerWheel.Timer second = wheel.schedule(10_000, NO_OP);
+        assertEquals(NO_OP, wheel.poll(20_000));
         assertTrue(second.isPending());
         second.cancel();
         second.cancel();
@@ -92,11 +92,11 @@
 
     /** A clock that stands still for an hour, with nothing set or with a timer of an hour, loses nothing. */
     @Test
-    void longSleeps() {
+    void longClockJumpsLoseNoTimer() {
         TimerWheel wheel = new TimerWheel(0);
         assertNull(wheel.poll(3_600_000_000L));
-        wheel.schedule(7_200_000_000L, NOTHING);
+        wheel.schedule(7_200_000_000L, NO_OP);
         assertNull(wheel.poll(7_199_999_000L));
-        assertEquals(NOTHING, wheel.poll(7_200_001_024L));
+        assertEquals(NO_OP, wheel.poll(7_200_001_024L));
     }
 }
--- a/node/src/main/java/hookweir/adapter/Session.java
+++ b/node/src/main/java/hookweir/adapter/Session.java
@@ -150,7 +150,7 @@
         Instance it = new Instance();
         it.reportFields = parsed.reportFields;
         instances.put(who, it);
-        runGuarded(who, () -> it.dispatcher = factory.create(parsed.settings, seed, new WireHost(who, out)));
+        runGuarded(who, () -> it.dispatcher = factory.create(parsed.settings, seed, new SimulatorHost(who, out)));
     }
 
     private void defineList(long at) throws InvalidInputException {
--- a/node/src/main/java/hookweir/adapter/WireHost.java
+++ b/node/src/main/java/hookweir/adapter/SimulatorHost.java
@@ -3,11 +3,11 @@
 import hookweir.Contract;
 
 /** Writes the actions of one instance as records of the reply. */
-final class WireHost implements Contract.Host {
+final class SimulatorHost implements Contract.Host {
     private final int instanceId;
     private final FrameWriter out;
 
-    WireHost(int who, FrameWriter out) {
+    SimulatorHost(int who, FrameWriter out) {
         this.instanceId = who;
         this.out = out;
     }
--- a/node/src/test/java/hookweir/adapter/SessionTest.java
+++ b/node/src/test/java/hookweir/adapter/SessionTest.java
@@ -19,12 +19,12 @@
 /** The wire, on frames put together here from its layout. */
 class SessionTest {
     /** Notes down events and answers some of them with actions. */
-    private static final class Spy implements Contract.Dispatcher {
+    private static final class RecordingDispatcher implements Contract.Dispatcher {
         final List<String> events = new ArrayList<>();
         final Contract.Host host;
         final Contract.Settings settings;
 
-        Spy(Contract.Settings settings, Contract.Host host) {
+        RecordingDispatcher(Contract.Settings settings, Contract.Host host) {
             this.settings = settings;
             this.host = host;
         }
@@ -100,14 +100,14 @@
         }
     }
 
-    private static final String INFO = "stats.fields=x0,utilization\nnew.key=whatever\nclasses.count=1\n"
+    private static final String SETTINGS = "stats.fields=x0,utilization\nnew.key=whatever\nclasses.count=1\n"
         + "classes.0.semantics=read_like\nme=4\n";
-    private final List<Spy> spies = new ArrayList<>();
+    private final List<RecordingDispatcher> dispatchers = new ArrayList<>();
     private final ByteBuffer records = ByteBuffer.allocate(1 << 20);
-    private int count;
+    private int recordCount;
 
     private ByteBuffer record(int code) {
-        count++;
+        recordCount++;
         return records.put((byte) code);
     }
 
@@ -116,7 +116,7 @@
         record(5).putInt(who).putLong(99).putInt(b.length).put(b);
     }
 
-    private void ledger(int number, int... ids) {
+    private void defineList(int number, int... ids) {
         record(8).putShort((short) number).putInt(ids.length);
         for (int id : ids) {
             records.putLong(7).putShort((short) 1).putShort((short) 0).putInt(id).put((byte) 1).putFloat(1.5f)
@@ -126,9 +126,9 @@
 
     private byte[] frame(long clock) {
         ByteBuffer b = ByteBuffer.allocate(16 + records.position());
-        b.putInt(count).putInt(b.capacity()).putLong(clock).put(records.array(), 0, records.position());
+        b.putInt(recordCount).putInt(b.capacity()).putLong(clock).put(records.array(), 0, records.position());
         records.clear();
-        count = 0;
+        recordCount = 0;
         return b.array();
     }
 
@@ -139,8 +139,8 @@
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Session(new ByteArrayInputStream(in.toByteArray()), out, (settings, seed, host) -> {
-            Spy spy = new Spy(settings, host);
-            spies.add(spy);
+            RecordingDispatcher spy = new RecordingDispatcher(settings, host);
+            dispatchers.add(spy);
             return spy;
         }).run();
         return out.toByteArray();
@@ -161,39 +161,39 @@
     }
 
     @Test
-    void requestAndTimerAreAnsweredToTheByte() throws Exception {
-        start(3, INFO);
+    void requestAndTimerRepliesMatchByteForByte() throws Exception {
+        start(3, SETTINGS);
         byte[] first = frame(1);
         record(2).putInt(3).putInt(0x5d3a91c4).putInt(12000).putShort((short) 3).putShort((short) 0).putFloat(2f)
             .putInt(0).putLong(77).putFloat(1.5f).putLong(8652250);
         record(7).putInt(3).putLong(0x4d);
         byte[] reply = play(first, frame(8412250));
-        assertEquals("request 1564119492 12000 2.0 77 8652250 true", spies.get(0).events.get(0));
-        assertEquals("timer 77 at 8412250", spies.get(0).events.get(1));
+        assertEquals("request 1564119492 12000 2.0 77 8652250 true", dispatchers.get(0).events.get(0));
+        assertEquals("timer 77 at 8412250", dispatchers.get(0).events.get(1));
         assertArrayEquals(hex("00000008 00000000" + "00000033 00000003"
             + "08 00000003 5d3a91c4 03124a07 00013880"
             + "02 00000003 000000000000004d 0007a120"
             + "01 00000003 0002 6869"), reply);
-        assertEquals(4, spies.get(0).settings.schedulerIndex);
+        assertEquals(4, dispatchers.get(0).settings.schedulerIndex);
     }
 
     @Test
-    void listsAreSharedAndTheirNumbersReusedInOneBatch() throws Exception {
-        start(1, INFO);
-        start(2, INFO);
-        ledger(0, 10, 11);
+    void listNumbersCanBeReusedInOneBatch() throws Exception {
+        start(1, SETTINGS);
+        start(2, SETTINGS);
+        defineList(0, 10, 11);
         record(11).putInt(1).putShort((short) 0).putInt(1).put((byte) 0);
-        ledger(0, 12);
+        defineList(0, 12);
         record(11).putInt(2).putShort((short) 0).putInt(2).put((byte) 2);
         record(11).putInt(1).putShort((short) 9).putInt(2).put((byte) 3);
         play(frame(5));
-        assertEquals(List.of("fleet false 10READY2/1.5 11READY2/1.5", "fleetFailed"), spies.get(0).events);
-        assertEquals(List.of("fleet true 12READY2/1.5"), spies.get(1).events);
+        assertEquals(List.of("fleet false 10READY2/1.5 11READY2/1.5", "fleetFailed"), dispatchers.get(0).events);
+        assertEquals(List.of("fleet true 12READY2/1.5"), dispatchers.get(1).events);
     }
 
     @Test
     void everyOtherEventAndAction() throws Exception {
-        start(1, INFO);
+        start(1, SETTINGS);
         record(10).putInt(1).putInt(5).putShort((short) 1).putInt(10).putShort((short) 254).putInt(900)
             .put((byte) 1).putInt(0).put((byte) 2).putFloat(3f).putFloat(0.5f);
         record(10).putInt(1).putInt(6).putShort((short) 0).putInt(10).putShort((short) 0).putInt(900)
@@ -206,7 +206,7 @@
         byte[] reply = play(frame(5));
         assertEquals(List.of("outcome 5 FULL 900 true 3.0 0.5 NaN", "outcome 6 OK 900 false -",
             "probed 10 CONNECT_FAILED", "peer 2 2", "progress 5 1 0.25", "streaming 5 1", "withdrawn 5"),
-            spies.get(0).events);
+            dispatchers.get(0).events);
         assertArrayEquals(hex("0000005e 00000008"
             + "0b 00000001 00000005 00000005" + "06 00000001 00000005" + "04 00000001 00000005 0001"
             + "0b 00000001 00000006 00000005" + "06 00000001 00000006" + "04 00000001 00000006 0000"
@@ -215,18 +215,18 @@
 
     @Test
     void anInstanceRestartsInTheBatchInWhichItStopped() throws Exception {
-        start(1, INFO);
+        start(1, SETTINGS);
         record(6).putInt(1);
-        start(1, INFO);
+        start(1, SETTINGS);
         record(12).putInt(1).putInt(5);
         play(frame(5));
-        assertEquals(0, spies.get(0).events.size());
-        assertEquals(List.of("withdrawn 5"), spies.get(1).events);
+        assertEquals(0, dispatchers.get(0).events.size());
+        assertEquals(List.of("withdrawn 5"), dispatchers.get(1).events);
     }
 
     @Test
-    void aFailureOfTheDecisionsIsFatalWithAText() throws Exception {
-        start(1, INFO);
+    void aDispatcherExceptionIsReportedAsFatal() throws Exception {
+        start(1, SETTINGS);
         record(2).putInt(1).putInt(13).putInt(0).putShort((short) 0).putShort((short) 0).putFloat(1f).putInt(0)
             .putLong(0).putFloat(0).putLong(10);
         String reply = new String(play(frame(5)), StandardCharsets.ISO_8859_1);
@@ -235,7 +235,7 @@
 
     @Test
     void aVeryLongBatch() throws Exception {
-        start(1, INFO);
+        start(1, SETTINGS);
         for (int i = 0; i < 40_000; i++) {
             record(7).putInt(1).putLong(i);
         }
@@ -243,34 +243,34 @@
         assertEquals(80_000, ByteBuffer.wrap(reply).getInt(4));
     }
 
-    private void bad(byte[] input, String message) {
+    private void assertRejected(byte[] input, String message) {
         InvalidInputException e = assertThrows(InvalidInputException.class, () -> play(input));
         assertEquals(message, e.getMessage());
     }
 
     @Test
-    void badInputIsNamedWithItsByte() {
-        bad(hex("00000000 000000"), "input ends inside a frame header at byte 7");
-        bad(hex("00000000 00000004 0000000000000000"), "frame length 4 is out of range at byte 4");
-        bad(hex("00000000 00000020 0000000000000000"), "input ends inside a frame of 32 bytes at byte 16");
-        bad(hex("00000001 00000015 0000000000000000 1f 00000001"), "unknown event code 31 at byte 16");
-        bad(hex("00000001 00000019 0000000000000000 0c 00000001 00000002"),
+    void invalidInputIsReportedWithItsPosition() {
+        assertRejected(hex("00000000 000000"), "input ends inside a frame header at byte 7");
+        assertRejected(hex("00000000 00000004 0000000000000000"), "frame length 4 is out of range at byte 4");
+        assertRejected(hex("00000000 00000020 0000000000000000"), "input ends inside a frame of 32 bytes at byte 16");
+        assertRejected(hex("00000001 00000015 0000000000000000 1f 00000001"), "unknown event code 31 at byte 16");
+        assertRejected(hex("00000001 00000019 0000000000000000 0c 00000001 00000002"),
             "event 12 for unknown instance 1 at byte 16");
-        bad(hex("00000000 00000011 0000000000000000 00"), "bytes are left over behind the last record at byte 16");
-        bad(hex("00000001 00000012 0000000000000000 08 00"), "a record runs past the end of its frame at byte 17");
+        assertRejected(hex("00000000 00000011 0000000000000000 00"), "bytes are left over behind the last record at byte 16");
+        assertRejected(hex("00000001 00000012 0000000000000000 08 00"), "a record runs past the end of its frame at byte 17");
         start(1, "me=1\nclasses.count=x\n");
-        bad(frame(1), "setting classes.count has the unusable value 'x' at byte 38");
+        assertRejected(frame(1), "setting classes.count has the unusable value 'x' at byte 38");
         start(1, "classes.count=1\nclasses.0.semantics=odd\n");
-        bad(frame(1), "setting classes.0.semantics has the unusable value 'odd' at byte 49");
+        assertRejected(frame(1), "setting classes.0.semantics has the unusable value 'odd' at byte 49");
         start(1, "limits.cancel=maybe\n");
-        bad(frame(1), "setting limits.cancel has the unusable value 'maybe' at byte 33");
-        start(1, INFO);
+        assertRejected(frame(1), "setting limits.cancel has the unusable value 'maybe' at byte 33");
+        start(1, SETTINGS);
         record(11).putInt(1).putShort((short) 3).putInt(1).put((byte) 0);
-        bad(frame(1), "list number 3 was not defined at byte " + (16 + 17 + INFO.length() + 5));
+        assertRejected(frame(1), "list number 3 was not defined at byte " + (16 + 17 + SETTINGS.length() + 5));
     }
 
     @Test
-    void theCommandLineEndsWithOnePlainMessage() {
+    void theCommandLineReportsInvalidInput() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int status = Main.run(new ByteArrayInputStream(hex("0000")), out, new PrintStream(err));
@@ -287,7 +287,7 @@
             + "orgs.0.allowance_per_s=12.5\nweights=live\nstats.via=pull\nlimits.max_attempts=4\n"
             + "prices.probe=0.002\nfamily_info.queue_order=backfill\nbogus=1\n\n");
         play(frame(1));
-        Contract.Settings s = spies.get(0).settings;
+        Contract.Settings s = dispatchers.get(0).settings;
         assertEquals(Contract.Idempotency.NON_IDEMPOTENT, s.classes.get(0).idempotency);
         assertEquals(Contract.DedupScope.ZONE, s.classes.get(1).dedupScope);
         assertEquals(1.75, s.classes.get(1).softDeadlineStretch);
--- a/node/src/test/java/hookweir/config/ConfigReaderTest.java
+++ b/node/src/test/java/hookweir/config/ConfigReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigReaderTest {
-    private static final String GOOD = "{'listen':'127.0.0.1:1','discovery':'127.0.0.1:2','limits':{'sockets':99},"
+    private static final String VALID = "{'listen':'127.0.0.1:1','discovery':'127.0.0.1:2','limits':{'sockets':99},"
         + "'settings':{'classes':[{'name':'a b','aim_us':7,'semantics':'read_like'}],'family_info':{'class_stretch':[2.5]},'me':3}}";
 
     private static Config read(String json, Map<String, String> env) throws Exception {
@@ -22,7 +22,7 @@
 
     @Test
     void nestedSettingsAreMapped() throws Exception {
-        Config c = read(GOOD, Map.of("RELAY_LISTEN", "127.0.0.1:5"));
+        Config c = read(VALID, Map.of("RELAY_LISTEN", "127.0.0.1:5"));
         assertEquals(5, c.listenAddress().getPort());
         assertEquals(99, c.maxDescriptors());
         assertEquals("a_b", c.settings().classNames.get(0));
@@ -36,7 +36,7 @@
         + "'classes':[{'name':'a','deadline_us':9,'semantics':'read_like'},{'name':'b','deadline_us':9,'semantics':'read_like','aim_us':3}],"
         + "'limits':{'max_attempts':3}}}";
 
-    private static Config again(Config running, String... replaced) throws Exception {
+    private static Config reload(Config running, String... replaced) throws Exception {
         Path file = Files.createTempFile("hookweir", ".json");
         try {
             String text = RUNNING;
@@ -52,7 +52,7 @@
 
     /** A default in place of a lost key changed what nobody asked to change; such files are refused whole. */
     @Test
-    void brokenFilesAreRefusedAtAReload() throws Exception {
+    void invalidFilesAreRejectedOnReload() throws Exception {
         Config running = read(RUNNING, Map.of());
         for (String[] fault : new String[][] {{"'deadline_us':9,", "", "classes.0.deadline_us"},
             {"'deadline_us':9", "'deadline_us':0", "classes.0.deadline_us"},
@@ -62,7 +62,7 @@
             {"'discovery':'127.0.0.1:2',", "", "discovery"}, {"'listen':'127.0.0.1:1',", "", "listen"}, {RUNNING, "", "RELAY_CONFIG"},
             {RUNNING, RUNNING.substring(0, 99), "RELAY_CONFIG"}, {RUNNING, RUNNING + "}", "RELAY_CONFIG"}, {"['z']", "['y']", "zones"},
             {"'name':'a',", "", "classes.0.name"}, {"'max_attempts':3", "'max_attempts':'3'", "limits.max_attempts"}}) {
-            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> again(running, fault[0], fault[1]), fault[2]);
+            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> reload(running, fault[0], fault[1]), fault[2]);
             assertEquals(fault[2], e.key.replaceFirst("^settings\\.", ""));
         }
         assertThrows(InvalidSettingException.class, () -> read(RUNNING.replace("'max_attempts':3", "'max_attempts':0"), Map.of())); // also at the start
@@ -72,59 +72,59 @@
     @Test
     void classesThatChangeGetNewNumbers() throws Exception {
         Config first = read(RUNNING, Map.of());
-        Config second = again(first, "'name':'a','deadline_us':9,'semantics':'read_like'", "'name':'c','deadline_us':9,'semantics':'non_idempotent'",
+        Config second = reload(first, "'name':'a','deadline_us':9,'semantics':'read_like'", "'name':'c','deadline_us':9,'semantics':'non_idempotent'",
             "'aim_us':3", "'aim_us':4", "'max_attempts':3", "'max_attempts':1");
         assertEquals(Map.of("c", 2, "b", 3), second.settings().classNumbers);
         assertEquals(4, second.settings().policySettings.classes.size());
         assertEquals(3, second.settings().policySettings.classes.get(1).softDeadlineUs);
         assertEquals(4, second.settings().policySettings.classes.get(3).softDeadlineUs);
         assertEquals(1, second.settings().policySettings.maxAttempts);
-        assertEquals(Map.of("a", 0, "b", 1), again(second).settings().classNumbers);
+        assertEquals(Map.of("a", 0, "b", 1), reload(second).settings().classNumbers);
     }
 
     /** As only descriptor 0 can be inherited, another is a fault. */
     @Test
-    void inheritedDescriptorIsNamed() throws Exception {
-        assertTrue(read(GOOD, Map.of("RELAY_FD", "0", "TMPDIR", "/tmp")).inheritsListenSocket());
-        assertEquals("RELAY_FD", assertThrows(InvalidSettingException.class, () -> read(GOOD, Map.of("RELAY_FD", "3"))).key);
-        assertEquals("admin_addr", assertThrows(InvalidSettingException.class, () -> read(GOOD, Map.of("RELAY_ADMIN_ADDR", "here"))).key);
+    void onlyDescriptorZeroIsInherited() throws Exception {
+        assertTrue(read(VALID, Map.of("RELAY_FD", "0", "TMPDIR", "/tmp")).inheritsListenSocket());
+        assertEquals("RELAY_FD", assertThrows(InvalidSettingException.class, () -> read(VALID, Map.of("RELAY_FD", "3"))).key);
+        assertEquals("admin_addr", assertThrows(InvalidSettingException.class, () -> read(VALID, Map.of("RELAY_ADMIN_ADDR", "here"))).key);
     }
 
     /** On unless told otherwise; the variable wins, and a fault names whoever said it. */
     @Test
-    void handOverCanBeTurnedOff() throws Exception {
-        String off = GOOD.replace("'limits'", "'upgrade':{'handover':'off'},'limits'");
+    void handoverCanBeDisabled() throws Exception {
+        String off = VALID.replace("'limits'", "'upgrade':{'handover':'off'},'limits'");
         Map<String, String> shared = Map.of("RELAY_FD", "0", "TMPDIR", "/tmp");
-        assertTrue(read(GOOD, shared).handoverEnabled() && read(GOOD, shared).handoverSocketPath() != null);
+        assertTrue(read(VALID, shared).handoverEnabled() && read(VALID, shared).handoverSocketPath() != null);
         assertFalse(read(off, shared).handoverEnabled());
         assertNull(read(off, shared).handoverSocketPath());
-        assertNull(read(GOOD, Map.of("RELAY_FD", "0", "RELAY_HANDOVER", "off")).handoverSocketPath());
+        assertNull(read(VALID, Map.of("RELAY_FD", "0", "RELAY_HANDOVER", "off")).handoverSocketPath());
         assertTrue(read(off, Map.of("RELAY_HANDOVER", "on")).handoverEnabled());
         assertEquals("upgrade.handover", assertThrows(InvalidSettingException.class, () -> read(off.replace("'off'", "false"), Map.of())).key);
         assertEquals("RELAY_HANDOVER", assertThrows(InvalidSettingException.class, () -> read(off, Map.of("RELAY_HANDOVER", "maybe"))).key);
     }
 
-    private static final String SHARED = GOOD.replace("'me':3",
+    private static final String WITH_TENANTS = VALID.replace("'me':3",
         "'me':3,'over_share_worth':0.2,'rules':{'cold_share':0.34},'orgs':[{'name':'x','allowance_per_s':4.5,'portion':0.77},{'name':'y','portion':0.23}]");
 
     @Test
     void tenantsAndTheirSharesAreRead() throws Exception {
-        Config c = read(SHARED, Map.of());
+        Config c = read(WITH_TENANTS, Map.of());
         assertEquals(Map.of("x", 0, "y", 1), c.settings().tenantNumbers);
         assertEquals(4.5, c.settings().policySettings.tenantRatePerS[0]);
         assertEquals(0.2, c.settings().policySettings.overShareValue);
         for (String[] fault : new String[][] {{"0.77", "1.77", "orgs.0.portion"}, {"0.23", "-0.1", "orgs.1.portion"}, {"0.23", "'much'", "orgs.1.portion"},
             {"4.5", "-1", "orgs.0.allowance_per_s"}, {"'over_share_worth':0.2", "'over_share_worth':2", "over_share_worth"},
             {"'name':'y',", "", "orgs.1.name"}, {"'name':'y'", "'name':'x'", "orgs.1.name"}, {"0.34", "3.4", "rules.cold_share"}}) {
-            assertEquals(fault[2], assertThrows(InvalidSettingException.class, () -> read(SHARED.replace(fault[0], fault[1]), Map.of()), fault[2]).key);
+            assertEquals(fault[2], assertThrows(InvalidSettingException.class, () -> read(WITH_TENANTS.replace(fault[0], fault[1]), Map.of()), fault[2]).key);
         }
     }
 
     @Test
-    void faultsNameTheirKey() {
+    void errorsNameTheirKey() {
         for (String[] fault : new String[][] {{"'127.0.0.1:1'", "'nowhere'", "listen"}, {"'127.0.0.1:2'", "'1.2.3.4:99999'", "discovery"},
             {"99", "5", "limits.sockets"}, {"'me':3", "'me':'x'", "me"}, {"read_like", "lively", "classes.0.semantics"}}) {
-            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> read(GOOD.replace(fault[0], fault[1]), Map.of()));
+            InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> read(VALID.replace(fault[0], fault[1]), Map.of()));
             assertEquals(fault[2], e.key);
         }
     }
