--- a/core/src/main/java/hookweir/membership/ListLease.java
+++ b/core/src/main/java/hookweir/membership/ListLease.java
@@ -1,98 +1,105 @@
 package hookweir.membership;
 
 /**
- * A lease on the list of workers: by which list requests may be sent to workers, and until when. A state machine without I/O and
- * clock; its host reports the events, each with its time in µs, and asks {@link #isValidAt} before the first byte of an attempt.
+ * A lease on the worker list: whether this scheduler may send requests to workers, by which list, and until when. It is a state machine
+ * without I/O or a clock. Its host reports the events, each with its time in µs, and checks {@link #isValidAt} before it writes the first
+ * byte of an attempt.
  *
- * <p>A change of the list counts as told to a scheduler at the latest {@value #NOTIFICATION_DEADLINE_US} µs after the list service had it and could be
- * reached, whether it arrived or not; after a move to another service sooner. So an answer of the service is a lease for less than
- * that. So is proof that the service can't be reached, as long as nothing can have been missed before: the service answered no call
- * otherwise, and no watch fell silent, since the list was last known whole. An answer that says nothing of the list, such as 503, is no
- * lease: the service may have news that can't be got from it. While the lease is over nothing is sent; requests are held for as long
- * as they can still be served in time, and refused then.
+ * <p>A scheduler counts as notified of a change of the list at most {@value #NOTIFICATION_DEADLINE_US} µs after the list service had the
+ * change and was reachable, whether or not the change arrived; after a move to another list service the time is shorter. A response of
+ * the service therefore grants a lease for less than that time. Proof that the service is unreachable grants one too, provided that no
+ * update can have been missed before: since the list was last known to be complete, no call that reached the service has ended without
+ * the list, and no watch has gone silent. A response without the list, such as 503, grants no lease, because the service may have
+ * updates that the scheduler can't get. While the lease is expired nothing is sent: requests are held as long as they can still be served
+ * in time, and then rejected.
+ *
+ * <p>Transitions, where "-" means unchanged:
  *
  * <pre>
- *   event                                     phase                       lease until             missed nothing
- *   confirmed                                 CONFIRMED                   confirmation + term     yes
- *   call refused, nothing missed              CACHED after {@value #REFUSALS_UNTIL_UNREACHABLE} in a row     call's start + term     as it was
- *   call refused, perhaps something missed    the same                    as it was               no
- *   call unanswered, lists asked for          as it was                   as it was               no
- *   call unanswered, lists pushed             as a call refused: an agent is silent only while it learns nothing
- *   watch ended                               as it was                   as it was               as it was
- *   watch silent                              as it was                   as it was               no
- *   the host's time limit while PENDING       CACHED                      as it was; where lists are pushed now + term
- *   moved to another service                  as it was                   now + move term at most no
+ *   event                                   phase                      lease expires at           no update missed
+ *   confirmed                               CONFIRMED                  confirmation + term        yes
+ *   call refused, no update missed          CACHED after {@value #REFUSALS_UNTIL_UNREACHABLE} in a row    start of the call + term   -
+ *   call refused, update may be missed      same as above              -                          no
+ *   call unanswered, lists polled           -                          -                          no
+ *   call unanswered, lists pushed           same as a refused call: an agent is silent only while it receives no updates
+ *   watch ended                             -                          -                          -
+ *   watch silent                            -                          -                          no
+ *   host's start timeout while PENDING      CACHED                     -; now + term if lists are pushed
+ *   list service moved                      -                          at most now + move term    no
  * </pre>
  *
- * <p>A lease that refused calls extend begins with the phase CACHED; before that nothing is sent. What left the list while neither this
- * process nor the one before it ran, just before an outage of the service, is not known to either: nothing guards against that.
+ * <p>Refused calls extend a lease only from phase CACHED on; before that nothing is sent. One gap is accepted: if a worker leaves the list
+ * just before an outage of the service, while neither this process nor its predecessor is running, neither learns of it.
  */
 public final class ListLease {
-    /** How far it has come to know the list; it only ever goes on. */
+    /** What is known about the list. The phase only ever advances. */
     public enum Phase {
-        /** Nothing is known for certain: requests are held, none is sent to a worker. */
+        /** No usable list: requests are held and none is sent to a worker. */
         PENDING,
-        /** The list as last held by the process before is taken over; the service has not spoken to this process. */
+        /** The list that the previous process cached is in use; the list service has not sent a list to this process. */
         CACHED,
-        /** The list service has spoken to this process. */
+        /** The list service has sent its list to this process. */
         CONFIRMED
     }
 
-    /** What the list service has to tell counts as told so long after it had it and could be reached. */
+    /** A scheduler counts as notified of an update this long after the list service had the update and was reachable. */
     public static final long NOTIFICATION_DEADLINE_US = 6_000_000;
-    /** The same from the signal by which the configuration moved it to another address. */
+    /** The same after a move of the list service, counted from the signal that reloaded the configuration with the new address. */
     public static final long MOVE_NOTIFICATION_DEADLINE_US = 4_000_000;
-    /** So much sooner sending ends. The process may be held up between its clock and its write; the grace of a drain comes on top. */
+    /**
+     * The lease expires this long before the notification deadline, because the process may be paused between reading the clock and
+     * writing to the socket. The drain grace period comes on top.
+     */
     static final long SAFETY_MARGIN_US = 100_000;
-    /** One refusal may be a restart of the list service; after so many in a row it counts as out of reach. */
+    /** A single refused call may be a restart of the list service; after this many in a row it counts as unreachable. */
     static final int REFUSALS_UNTIL_UNREACHABLE = 2;
     private static final long TERM_US = NOTIFICATION_DEADLINE_US - SAFETY_MARGIN_US;
 
     private Phase phase = Phase.PENDING;
-    private boolean setListsPushed;
+    private boolean listsPushed;
     private int consecutiveRefusals;
     private long expiresAtUs;
-    /** All is known that the service had to tell while it could be reached, as far as can be seen from here. */
+    /** As far as this process can tell, it has received every update that the service had while it was reachable. */
     private boolean noUpdateMissed = true;
 
     /**
-     * A lease that is yet to begin.
+     * Creates a lease that has not started yet.
      *
-     * @param pushed lists are pushed to an agent on this machine, which answers at once or is silent while it learns nothing
+     * @param pushed true if lists are pushed to an agent on this machine, which responds at once or is silent while it receives no updates
      */
     public ListLease(boolean pushed) {
-        this.setListsPushed = pushed;
+        this.listsPushed = pushed;
     }
 
-    /** Sets whether lists are pushed, as a new configuration says. */
-    public void setListsPushed(boolean on) {
-        setListsPushed = on;
+    /** Sets whether lists are pushed, after a reload of the configuration. */
+    public void setListsPushed(boolean pushed) {
+        listsPushed = pushed;
     }
 
-    /** The present phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** True while no list may be used. */
+    /** Returns true while no list may be used. */
     public boolean isPending() {
         return phase == Phase.PENDING;
     }
 
-    /** Whether the first byte of an attempt may be sent now. */
+    /** Returns whether the first byte of an attempt may be sent now. */
     public boolean isValidAt(long nowUs) {
         return nowUs < expiresAtUs;
     }
 
-    /** No attempt may begin from then on. */
+    /** Returns the time from which no attempt may start. */
     public long expiresAtUs() {
         return expiresAtUs;
     }
 
     /**
-     * The list service sent its list, the changes to it, or said that there were none.
+     * Records that the list service sent its list, a change to it, or a message that nothing has changed.
      *
-     * @param readUs nothing that was read then can have been written before this
+     * @param readUs the earliest time at which the data just read can have been written
      */
     public void confirmed(long readUs) {
         phase = Phase.CONFIRMED;
@@ -102,9 +109,9 @@
     }
 
     /**
-     * A call to the list service failed.
+     * Records a failed call to the list service.
      *
-     * @param startedUs when the call began: if the service could not be reached, then not before this moment
+     * @param startedUs start of the call: a failure to reach the service happened no earlier than this
      */
     public void callFailed(ListCallFailure failure, long startedUs) {
         switch (failure) {
@@ -117,7 +124,7 @@
 
     private void unanswered(long startedUs) {
         consecutiveRefusals = 0;
-        if (setListsPushed) {
+        if (listsPushed) {
             extend(startedUs);
         } else {
             noUpdateMissed = false;
@@ -132,7 +139,7 @@
         extend(startedUs);
     }
 
-    /** The service could not be reached then. */
+    /** Extends the lease, as the service was unreachable at this time. */
     private void extend(long atUs) {
         if (phase != Phase.PENDING && noUpdateMissed) {
             expiresAtUs = Math.max(expiresAtUs, atUs + TERM_US);
@@ -140,28 +147,28 @@
     }
 
     /**
-     * The host's limit on the start is over: the process takes clients from now on. By the list as last held it sends only where
-     * the service is out of reach.
+     * Records that the host's start timeout has passed: the process accepts requests from now on. It sends them by the cached worker list
+     * only if the list service is unreachable.
      */
     public void startTimeoutReached(long nowUs) {
         if (phase != Phase.PENDING) {
             return;
         }
         phase = Phase.CACHED;
-        if (setListsPushed) {
+        if (listsPushed) {
             expiresAtUs = nowUs + TERM_US;
         }
     }
 
-    /** A new configuration names another address of the list service; what that one has to tell counts soon. */
+    /** Shortens the lease, as the reloaded configuration names another list service, whose updates count after a shorter time. */
     public void serviceMoved(long nowUs) {
         noUpdateMissed = false;
         expiresAtUs = Math.min(expiresAtUs, nowUs + MOVE_NOTIFICATION_DEADLINE_US - SAFETY_MARGIN_US);
     }
 
-    /** The same lease, which goes its own way from now on. */
+    /** Returns an independent copy. */
     ListLease copy() {
-        ListLease copy = new ListLease(setListsPushed);
+        ListLease copy = new ListLease(listsPushed);
         copy.phase = phase;
         copy.consecutiveRefusals = consecutiveRefusals;
         copy.expiresAtUs = expiresAtUs;
@@ -171,6 +178,6 @@
 
     @Override
     public String toString() {
-        return phase + (noUpdateMissed ? "" : ", may have missed something") + ", " + consecutiveRefusals + " refusals in a row";
+        return phase + (noUpdateMissed ? "" : ", may have missed an update") + ", " + consecutiveRefusals + " consecutive refusals";
     }
 }
--- a/core/src/main/java/hookweir/room/ResourceBudget.java
+++ b/core/src/main/java/hookweir/room/ResourceBudget.java
@@ -5,115 +5,120 @@
 import java.util.List;
 
 /**
- * The one account of what a process holds for others: bytes of jobs' bodies, of results on their way and of output that
- * clients have not read, and the number of jobs. It decides what is read, what waits in the kernel and what is refused;
- * a host only tells it what came and went. Pure state: no clock, no I/O, not thread-safe.
+ * The limits of what a process holds for its clients: bytes of job bodies, of results in transit and of output that clients have not read,
+ * the number of jobs, and file descriptors. It decides what is read, what stays in the kernel's buffers and what is rejected; the host
+ * reports what was reserved and released. It holds state only, without a clock or I/O, and is not thread-safe.
  *
- * <p>Jobs may take {@link #MAX_BODY_SHARE} of the bytes at most, so that results, which end jobs, always find room. As room
- * for jobs gets scarce the cheap and repeatable are turned away first: a class is let in up to its own mark, between
- * {@link #MIN_THRESHOLD} and all of the room.
+ * <p>Job bodies may take at most {@link #MAX_BODY_SHARE} of the bytes, so that there is always memory for results, which complete jobs.
+ * As capacity for jobs runs short, jobs that are cheap and safe to repeat are rejected first: each request class is admitted up to its own
+ * threshold, between {@link #MIN_THRESHOLD} and the whole capacity.
  */
 public final class ResourceBudget {
-    /** Of all bytes, what jobs' bodies may take. */
+    /** Maximum share of the bytes for job bodies. */
     public static final double MAX_BODY_SHARE = 0.6;
-    /** The class that is turned away first is let in while less than this share of the room is taken. */
+    /** The class that is rejected first is admitted while less than this share of the capacity is in use. */
     public static final double MIN_THRESHOLD = 0.75;
-    /** A body up to this size is read at once: to have it wait would cost as much as to hold it. */
+    /** Bodies up to this size are read at once: making them wait would cost as much as holding them. */
     public static final int SMALL_BODY_BYTES = 2048;
 
-    /** Of all descriptors, what links to workers may take at most, and what is always left to them. */
+    /** Maximum share of the descriptors for connections to workers. */
     public static final double MAX_WORKER_CONNECTION_SHARE = 0.45;
+    /** While less than this share of the descriptors is in use, idle connections need not be closed. */
     private static final double SPARE_DESCRIPTOR_SHARE = 0.85;
+    /** Share of the descriptors that is always left for connections to workers. */
     private static final double RESERVED_WORKER_CONNECTION_SHARE = 0.2;
-    /** Of accepted connections, what clients may take: the others are workers', whose calls end jobs. */
+    /** Maximum share of the accepted connections for clients; the rest is for workers, whose callbacks complete jobs. */
     private static final double MAX_CLIENT_SHARE = 0.75;
 
-    /** What becomes of something that wants room. */
+    /** The decision on a reservation. */
     public enum Admission {
-        /** It is let in, and counted. */
+        /** Admitted and counted. */
         ADMIT,
-        /** Not now: there will be room when what is held has ended. */
+        /** Not yet: capacity becomes free when something held is released. */
         WAIT,
-        /** It is turned away. */
+        /** Rejected. */
         REJECT
     }
 
     private long maxBytes;
     private int maxJobs;
-    private double[] threshold = new double[0];
+    private double[] thresholds = new double[0];
     private long bodyBytes;
     private long resultBytes;
     private long outputBytes;
     private int heldJobs;
-    private int setMaxDescriptors;
+    private int maxDescriptors;
 
-    /** Room for so many bytes and jobs. */
-    public ResourceBudget(long mostBytes, int mostJobs) {
-        setLimits(mostBytes, mostJobs);
+    /** Creates a budget with these limits of bytes and jobs. */
+    public ResourceBudget(long maxBytes, int maxJobs) {
+        setLimits(maxBytes, maxJobs);
     }
 
-    /** Other limits hold from now on; what is held above them stays, and nothing is let in until it has ended. */
-    public void setLimits(long bytes, int atMostJobs) {
-        maxBytes = bytes;
-        maxJobs = atMostJobs;
+    /** Changes the limits. What is held beyond them is kept, and nothing is admitted until usage has fallen below them. */
+    public void setLimits(long newMaxBytes, int newMaxJobs) {
+        maxBytes = newMaxBytes;
+        maxJobs = newMaxJobs;
     }
 
-    /** So many descriptors may be held for links and accepted connections together. */
-    public void setMaxDescriptors(int most) {
-        setMaxDescriptors = most;
+    /** Sets the maximum number of descriptors for connections to workers and accepted connections together. */
+    public void setMaxDescriptors(int newMaxDescriptors) {
+        maxDescriptors = newMaxDescriptors;
     }
 
-    /** So many connections may be accepted beside these links: those to workers are few, mostly, and always have a share. */
-    public int maxAcceptedConnections(int links) {
-        return setMaxDescriptors - Math.max(links, (int) (setMaxDescriptors * RESERVED_WORKER_CONNECTION_SHARE));
+    /**
+     * Returns how many accepted connections there may be beside this many connections to workers. Those are usually few and always have a
+     * reserved share.
+     */
+    public int maxAcceptedConnections(int workerConnections) {
+        return maxDescriptors - Math.max(workerConnections, (int) (maxDescriptors * RESERVED_WORKER_CONNECTION_SHARE));
     }
 
-    /** So many of the accepted ones may be clients'. */
+    /** Returns how many of the accepted connections may belong to clients. */
     public int maxClientConnections() {
-        return (int) (setMaxDescriptors * (1 - RESERVED_WORKER_CONNECTION_SHARE) * MAX_CLIENT_SHARE);
+        return (int) (maxDescriptors * (1 - RESERVED_WORKER_CONNECTION_SHARE) * MAX_CLIENT_SHARE);
     }
 
-    /** So many links are worth keeping while they carry nothing. */
+    /** Returns how many idle connections to workers are worth keeping. */
     public int maxIdleWorkerConnections() {
-        return (int) (setMaxDescriptors * MAX_WORKER_CONNECTION_SHARE / 2);
+        return (int) (maxDescriptors * MAX_WORKER_CONNECTION_SHARE / 2);
     }
 
-    /** Links may be kept beyond what is worth it, as nobody needs their descriptors. */
-    public boolean hasSpareDescriptors(int links, int accepted) {
-        return links + accepted < setMaxDescriptors * SPARE_DESCRIPTOR_SHARE;
+    /** Returns whether descriptors are plentiful, so that idle connections beyond {@link #maxIdleWorkerConnections} may be kept. */
+    public boolean hasSpareDescriptors(int workerConnections, int acceptedConnections) {
+        return workerConnections + acceptedConnections < maxDescriptors * SPARE_DESCRIPTOR_SHARE;
     }
 
-    /** Another link may be made beside these and the accepted connections. */
-    public boolean mayConnectToWorker(int links, int accepted) {
-        return links < setMaxDescriptors * MAX_WORKER_CONNECTION_SHARE && links + accepted < setMaxDescriptors;
+    /** Returns whether another connection to a worker may be opened. */
+    public boolean mayConnectToWorker(int workerConnections, int acceptedConnections) {
+        return workerConnections < maxDescriptors * MAX_WORKER_CONNECTION_SHARE && workerConnections + acceptedConnections < maxDescriptors;
     }
 
-    /** The classes by number: they are ranked by what a refusal costs, which is least where a repeat is safe. */
+    /** Sets the request classes by number. They are ranked by the cost of a rejection, which is least where a repeat is safe. */
     public void setClasses(List<RequestClass> classes) {
-        threshold = new double[classes.size()];
-        for (int i = 0; i < threshold.length; i++) {
+        thresholds = new double[classes.size()];
+        for (int i = 0; i < thresholds.length; i++) {
             int below = 0;
             int all = 0;
             for (RequestClass other : classes) {
                 below += rejectionCost(other) < rejectionCost(classes.get(i)) ? 1 : 0;
                 all += rejectionCost(other) != rejectionCost(classes.get(i)) ? 1 : 0;
             }
-            threshold[i] = all == 0 ? 1 : MIN_THRESHOLD + (1 - MIN_THRESHOLD) * below / all;
+            thresholds[i] = all == 0 ? 1 : MIN_THRESHOLD + (1 - MIN_THRESHOLD) * below / all;
         }
     }
 
-    /** By effect first: a client can't lightly repeat what must not run twice; then by worth. */
+    /** Ranks by effect first, as a client can't easily repeat what must not run twice, and then by value. */
     private static double rejectionCost(RequestClass c) {
-        double byWorth = c.value / (1 + c.value);
-        return byWorth + (c.idempotency == Idempotency.IDEMPOTENT ? 0 : c.idempotency == Idempotency.KEYED ? 1 : 2);
+        double valuePart = c.value / (1 + c.value);
+        return valuePart + (c.idempotency == Idempotency.IDEMPOTENT ? 0 : c.idempotency == Idempotency.KEYED ? 1 : 2);
     }
 
-    /** So full jobs may make it for this class; one that is unknown is worth least. */
+    /** Returns the usage up to which this class is admitted; an unknown class gets the lowest threshold. */
     private double threshold(int requestClass) {
-        return requestClass >= 0 && requestClass < threshold.length ? threshold[requestClass] : MIN_THRESHOLD;
+        return requestClass >= 0 && requestClass < thresholds.length ? thresholds[requestClass] : MIN_THRESHOLD;
     }
 
-    /** A job's body of so many bytes is about to be read. */
+    /** Reserves memory for a job body that is about to be read. */
     public Admission reserveBody(int requestClass, int bytes) {
         double limit = maxBytes * MAX_BODY_SHARE;
         if (bytes <= SMALL_BODY_BYTES || bodyBytes + bytes <= limit * threshold(requestClass) && heldBytes() + bytes <= maxBytes) {
@@ -123,10 +128,10 @@
         return Admission.WAIT;
     }
 
-    /** A job has come whole: may it be taken on? Its body is counted already. */
+    /** Decides whether a completely received job is accepted. Its body has been counted already. */
     public Admission admitJob(int requestClass) {
         double full = Math.max((double) heldJobs / maxJobs, bodyBytes / (maxBytes * MAX_BODY_SHARE));
-        // What was let in for its body's size is not turned away for it after all.
+        // A job whose body was admitted is not rejected because of that body's size.
         if (heldJobs >= maxJobs * threshold(requestClass) || full > 1.0 + (double) SMALL_BODY_BYTES / maxBytes) {
             return Admission.REJECT;
         }
@@ -134,7 +139,7 @@
         return Admission.ADMIT;
     }
 
-    /** A worker's call of so many bytes is about to be read. */
+    /** Reserves memory for a worker's callback that is about to be read. */
     public Admission reserveResult(int bytes) {
         if (bytes <= SMALL_BODY_BYTES || heldBytes() + bytes <= maxBytes) {
             resultBytes += bytes;
@@ -143,62 +148,62 @@
         return Admission.WAIT;
     }
 
-    /** A body, or part of what was counted for it, is let go of. */
+    /** Releases a job body, or part of its reservation. */
     public void releaseBody(int bytes) {
         bodyBytes -= bytes;
     }
 
-    /** A job is over. */
+    /** Releases a completed job. */
     public void releaseJob() {
         heldJobs--;
     }
 
-    /** A call, or part of what was counted for it, is let go of. */
+    /** Releases a worker's callback, or part of its reservation. */
     public void releaseResult(int bytes) {
         resultBytes -= bytes;
     }
 
-    /** Output was handed to a connection that may not take it at once. */
+    /** Counts output handed to a connection that may not be able to write it at once. */
     public void addOutput(int bytes) {
         outputBytes += bytes;
     }
 
-    /** Output was taken, or its connection ended. */
+    /** Releases output that was written or whose connection was closed. */
     public void releaseOutput(int bytes) {
         outputBytes -= bytes;
     }
 
-    /** Output that nobody reads leaves too little room for results. */
+    /** Returns whether unread output leaves too little memory for results. */
     public boolean isOutputBacklogged() {
         return outputBytes > maxBytes * (1 - MAX_BODY_SHARE) / 2;
     }
 
-    /** Bytes held, of all kinds. */
+    /** Returns the bytes held, of all kinds. */
     public long heldBytes() {
         return bodyBytes + resultBytes + outputBytes;
     }
 
-    /** Bytes of jobs' bodies. */
+    /** Returns the bytes of job bodies held. */
     public long bodyBytes() {
         return bodyBytes;
     }
 
-    /** Bytes of output not taken yet. */
+    /** Returns the bytes of output not written yet. */
     public long outputBytes() {
         return outputBytes;
     }
 
-    /** Bytes that may be held. */
+    /** Returns the maximum number of bytes held. */
     public long maxBytes() {
         return maxBytes;
     }
 
-    /** Jobs held. */
+    /** Returns the number of jobs held. */
     public int heldJobs() {
         return heldJobs;
     }
 
-    /** Jobs that may be held. */
+    /** Returns the maximum number of jobs held. */
     public int maxJobs() {
         return maxJobs;
     }
--- a/core/src/main/java/hookweir/timer/TimerWheel.java
+++ b/core/src/main/java/hookweir/timer/TimerWheel.java
@@ -1,30 +1,29 @@
 package hookweir.timer;
 
 /**
- * Timers that cost the same however many there are, and nothing once cancelled: a hashed timing wheel (Varghese and
- * Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6). Each timer is a link of its slot's list, so
- * cancelling takes it out and lets go of its task at once.
+ * A hashed timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6). The cost of a timer does not depend
+ * on how many there are. Each timer is a node of its slot's linked list, so cancelling it unlinks it and releases its task at once.
  *
- * <p>Times are microseconds of the caller's clock; a timer comes due up to {@link #TICK_US} late and never early. Of
- * timers in one tick the first set comes first. Not thread-safe; it has no clock of its own.
+ * <p>Times are microseconds of the caller's clock. A timer fires up to {@link #TICK_US} late and never early; timers of the same tick fire
+ * in the order in which they were scheduled. Not thread-safe; reads no clock.
  */
 public final class TimerWheel {
-    /** The grain of all timers, in microseconds. */
+    /** Resolution of the timers, in microseconds. */
     public static final int TICK_US = 1 << 10;
     private static final int TICK_BITS = 10;
     private static final int SLOT_COUNT = 1 << 13;
-    /** So many ticks ahead {@link #idleTimeUs} looks, lest an idle wheel be searched whole. */
+    /** {@link #idleTimeUs} looks at most this many ticks ahead, so that it does not search the whole of an idle wheel. */
     private static final int LOOKAHEAD_TICKS = 64;
 
     private final Timer[] slotHeads = new Timer[SLOT_COUNT];
     private final Timer[] slotTails = new Timer[SLOT_COUNT];
-    /** Timers of the ticks passed, in order, not yet handed out. */
+    /** List of timers whose tick has passed, in order, that {@link #poll} has not returned yet. */
     private Timer dueHead;
     private Timer dueTail;
     private long currentTick;
     private int pendingTimers;
 
-    /** One timer, from {@link #schedule} until it came due or was cancelled. */
+    /** A timer, created by {@link #schedule}. */
     public static final class Timer {
         private static final int UNLINKED = -1;
         private static final int DUE_LIST = -2;
@@ -42,7 +41,7 @@
             this.task = task;
         }
 
-        /** It won't come due any more, and its task is let go of. Harmless once it came due. */
+        /** Cancels the timer and releases its task. Does nothing once it has fired. */
         public void cancel() {
             if (slot != UNLINKED) {
                 wheel.unlink(this);
@@ -51,36 +50,36 @@
             }
         }
 
-        /** It is still to come. */
+        /** Returns whether the timer has neither fired nor been cancelled. */
         public boolean isPending() {
             return slot != UNLINKED;
         }
     }
 
-    /** A wheel whose clock shows this time. */
+    /** Creates a wheel that starts at this time. */
     public TimerWheel(long nowUs) {
         currentTick = nowUs >> TICK_BITS;
     }
 
-    /** Sets a timer for that time; one that is past comes due at the next {@link #poll}. */
+    /** Schedules a task; if the time is in the past, it fires at the next {@link #poll}. */
     public Timer schedule(long atUs, Runnable task) {
-        long at = Math.max(currentTick, atUs + TICK_US - 1 >> TICK_BITS);
-        Timer t = new Timer(this, at, task);
+        long dueTick = Math.max(currentTick, atUs + TICK_US - 1 >> TICK_BITS);
+        Timer t = new Timer(this, dueTick, task);
         pendingTimers++;
-        if (at <= currentTick) {
+        if (dueTick <= currentTick) {
             append(t, Timer.DUE_LIST);
         } else {
-            append(t, (int) (at & SLOT_COUNT - 1));
+            append(t, (int) (dueTick & SLOT_COUNT - 1));
         }
         return t;
     }
 
-    /** The task of the next timer that is due by that time, which is now over; null where none is. */
+    /** Removes the next timer that is due by this time and returns its task; null if there is none. */
     public Runnable poll(long nowUs) {
-        long now = nowUs >> TICK_BITS;
-        while (dueHead == null && currentTick < now) {
-            if (now - currentTick > SLOT_COUNT && pendingTimers == 0) {
-                currentTick = now; // nothing to look for on the way
+        long nowTick = nowUs >> TICK_BITS;
+        while (dueHead == null && currentTick < nowTick) {
+            if (nowTick - currentTick > SLOT_COUNT && pendingTimers == 0) {
+                currentTick = nowTick; // no timers to collect in between
                 return null;
             }
             currentTick++;
@@ -109,22 +108,25 @@
         }
     }
 
-    /** How long nothing comes due from that time on, in microseconds: 0 where something may, at most some 65 ms. */
+    /**
+     * Returns for how many microseconds from this time on no timer is due: 0 if one may be due now, and at most about 65 ms
+     * ({@link #LOOKAHEAD_TICKS}).
+     */
     public long idleTimeUs(long nowUs) {
         if (dueHead != null) {
             return 0;
         }
-        for (long ahead = currentTick + 1; ahead <= currentTick + LOOKAHEAD_TICKS; ahead++) {
-            for (Timer t = slotHeads[(int) (ahead & SLOT_COUNT - 1)]; t != null; t = t.next) {
-                if (t.dueTick <= ahead) {
-                    return Math.max(0, (ahead << TICK_BITS) - nowUs);
+        for (long tick = currentTick + 1; tick <= currentTick + LOOKAHEAD_TICKS; tick++) {
+            for (Timer t = slotHeads[(int) (tick & SLOT_COUNT - 1)]; t != null; t = t.next) {
+                if (t.dueTick <= tick) {
+                    return Math.max(0, (tick << TICK_BITS) - nowUs);
                 }
             }
         }
         return Math.max(0, (currentTick + LOOKAHEAD_TICKS << TICK_BITS) - nowUs);
     }
 
-    /** Timers that are still to come. */
+    /** Returns the number of pending timers. */
     public int size() {
         return pendingTimers;
     }
--- a/core/src/test/java/hookweir/membership/ListLeaseExhaustiveTest.java
+++ b/core/src/test/java/hookweir/membership/ListLeaseExhaustiveTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All orders of events that a small world can bring, one second after the other: outages, calls that are refused or not answered, a
- * watch that ends or falls silent, a change of the list, a new process, a move. In none may an attempt begin when the change counts as
- * told and has not been read, but where the lease's own comment says so.
+ * Explores all orders of events in a small model, one event per second: outages, calls that are refused or not answered, a watch that ends
+ * or falls silent, a change of the list, a new process, a move of the list service. In none of them may an attempt start once the
+ * scheduler counts as notified of a change that it has not received, except in the case that the comment of {@link ListLease} names.
  */
 final class ListLeaseExhaustiveTest {
     private static final long STEP_US = 1_000_000;
     private static final int STEPS = 18;
     private static final long NEVER_US = Long.MAX_VALUE;
-    /** A silent watch is noticed after so many steps. */
+    /** A silent watch is detected after this many steps. */
     private static final int SILENCE_STEPS = 3;
 
     private enum Watch { NONE, OPEN, SILENT }
 
-    /** What happens in a step before the scheduler acts. */
+    /** The event of a step, before the scheduler acts. */
     private enum Step { NOTHING, SERVICE_GOES_DOWN, SERVICE_COMES_UP, LIST_CHANGES, WATCH_FALLS_SILENT, WATCH_ENDS, PROCESS_STARTS, SERVICE_MOVES }
 
-    /** How the service deals with a call while it is up. */
+    /** How the service handles a call while it is up. */
     private enum CallResult { ANSWERED, BUSY }
 
-    /** The world at the end of a step; times are steps. */
+    /** The state at the end of a step; {@code now} counts steps. */
     private static final class ModelState {
         ListLease lease = new ListLease(false);
         int now;
@@ -42,16 +42,16 @@
         boolean restarted;
         boolean moved;
         boolean outageHappened;
-        /** The events so far, for messages. */
+        /** The events so far, for failure messages. */
         String history = "";
 
-        ModelState next(Step step, CallResult mood, boolean refusedWhileDown) {
-            ModelState w = copy();
-            w.now++;
-            w.history += " " + step + (mood == CallResult.BUSY ? "/busy" : "") + (refusedWhileDown ? "" : "/mute");
-            w.applyStep(step);
-            w.runScheduler(mood, refusedWhileDown);
-            return w;
+        ModelState next(Step step, CallResult callResult, boolean refusedWhileDown) {
+            ModelState s = copy();
+            s.now++;
+            s.history += " " + step + (callResult == CallResult.BUSY ? "/busy" : "") + (refusedWhileDown ? "" : "/mute");
+            s.applyStep(step);
+            s.runScheduler(callResult, refusedWhileDown);
+            return s;
         }
 
         private long nowUs() {
@@ -103,14 +103,14 @@
             if (watch == Watch.OPEN) {
                 lease.callFailed(ListCallFailure.WATCH_ENDED, nowUs());
             } else if (watch == Watch.SILENT) {
-                // An end that is seen after a silence: what came between is unknown.
+                // The watch ended after a silence: updates in between may have been missed.
                 lease.callFailed(silentSteps > 0 ? ListCallFailure.WATCH_SILENT : ListCallFailure.WATCH_ENDED, nowUs());
             }
             watch = Watch.NONE;
             silentSteps = 0;
         }
 
-        private void runScheduler(CallResult mood, boolean refusedWhileDown) {
+        private void runScheduler(CallResult callResult, boolean refusedWhileDown) {
             if (watch == Watch.SILENT && ++silentSteps >= SILENCE_STEPS) {
                 lease.callFailed(ListCallFailure.WATCH_SILENT, nowUs());
                 watch = Watch.NONE;
@@ -118,7 +118,7 @@
             }
             if (watch == Watch.OPEN) {
                 lease.confirmed(nowUs());
-            } else if (watch == Watch.NONE && up && mood == CallResult.ANSWERED) {
+            } else if (watch == Watch.NONE && up && callResult == CallResult.ANSWERED) {
                 watch = Watch.OPEN;
                 changeDelivered = listChanged;
                 lease.confirmed(nowUs());
@@ -134,81 +134,81 @@
                 case SERVICE_COMES_UP -> !up;
                 case LIST_CHANGES -> !listChanged;
                 case WATCH_FALLS_SILENT, WATCH_ENDS -> watch == Watch.OPEN;
-                // A change between two processes, just before an outage, is what the lease does not guard against.
+                // The lease does not guard against a change between two processes just before an outage.
                 case PROCESS_STARTS -> !restarted && (up || !listChanged || changeDelivered);
                 case SERVICE_MOVES -> !moved && up;
             };
         }
 
-        /** The change counts as told, was not read, and the lease lets an attempt begin. */
+        /** Returns true if the scheduler counts as notified of the change, has not received it, and the lease permits an attempt. */
         boolean violatesLease() {
             return listChanged && !changeDelivered && nowUs() >= notifiedByUs && lease.isValidAt(nowUs());
         }
 
-        /** What decides all that may come; worlds that differ in times alone are one. */
+        /** Identifies states with the same possible futures: those that differ only in absolute time are equal. */
         String stateKey() {
             long left = Math.max(-1, lease.expiresAtUs() - nowUs());
-            long toTold = notifiedByUs == NEVER_US ? NEVER_US : Math.max(-1, notifiedByUs - nowUs());
-            return up + "," + watch + silentSteps + listChanged + changeDelivered + restarted + moved + outageHappened + lease.phase() + "," + left + "," + toTold
-                + "," + lease;
+            long untilNotified = notifiedByUs == NEVER_US ? NEVER_US : Math.max(-1, notifiedByUs - nowUs());
+            return up + "," + watch + silentSteps + listChanged + changeDelivered + restarted + moved + outageHappened + lease.phase() + "," + left
+                + "," + untilNotified + "," + lease;
         }
 
         private ModelState copy() {
-            ModelState w = new ModelState();
-            w.lease = lease.copy();
-            w.now = now;
-            w.up = up;
-            w.watch = watch;
-            w.silentSteps = silentSteps;
-            w.listChanged = listChanged;
-            w.changeDelivered = changeDelivered;
-            w.notifiedByUs = notifiedByUs;
-            w.restarted = restarted;
-            w.moved = moved;
-            w.outageHappened = outageHappened;
-            w.history = history;
-            return w;
+            ModelState s = new ModelState();
+            s.lease = lease.copy();
+            s.now = now;
+            s.up = up;
+            s.watch = watch;
+            s.silentSteps = silentSteps;
+            s.listChanged = listChanged;
+            s.changeDelivered = changeDelivered;
+            s.notifiedByUs = notifiedByUs;
+            s.restarted = restarted;
+            s.moved = moved;
+            s.outageHappened = outageHappened;
+            s.history = history;
+            return s;
         }
     }
 
     @Test
     void noEventOrderPermitsAnAttemptByAnOutdatedList() {
         Set<String> seen = new HashSet<>();
-        Deque<ModelState> open = new ArrayDeque<>();
-        open.add(new ModelState());
-        int worlds = 0;
-        while (!open.isEmpty()) {
-            ModelState world = open.poll();
+        Deque<ModelState> unexplored = new ArrayDeque<>();
+        unexplored.add(new ModelState());
+        int states = 0;
+        while (!unexplored.isEmpty()) {
+            ModelState state = unexplored.poll();
             for (Step step : Step.values()) {
-                for (CallResult mood : CallResult.values()) {
+                for (CallResult callResult : CallResult.values()) {
                     for (boolean refused : new boolean[] {true, false}) {
-                        if (!world.isPossible(step)) {
+                        if (!state.isPossible(step)) {
                             continue;
                         }
-                        ModelState next = world.next(step, mood, refused);
-                        assertTrue(!next.violatesLease(), () -> "an attempt may begin after" + next.history);
+                        ModelState next = state.next(step, callResult, refused);
+                        assertTrue(!next.violatesLease(), () -> "an attempt is permitted after" + next.history);
                         if (next.now < STEPS && seen.add(next.stateKey() + next.now)) {
-                            open.add(next);
-                            worlds++;
+                            unexplored.add(next);
+                            states++;
                         }
                     }
                 }
             }
         }
-        assertTrue(worlds > 10_000, worlds + " worlds");
+        assertTrue(states > 10_000, states + " states");
     }
 
-    /** The exploration sees what it is there for: without a lease it finds the incident. */
+    /** The model reaches the fault that the lease guards against: a change counts as notified without having been received. */
     @Test
     void exploredStatesIncludeAnUndeliveredChange() {
-        ModelState world = new ModelState();
-        world = world.next(Step.NOTHING, CallResult.ANSWERED, true);
-        world = world.next(Step.WATCH_ENDS, CallResult.BUSY, true);
-        world = world.next(Step.LIST_CHANGES, CallResult.BUSY, true);
+        ModelState state = new ModelState();
+        state = state.next(Step.NOTHING, CallResult.ANSWERED, true);
+        state = state.next(Step.WATCH_ENDS, CallResult.BUSY, true);
+        state = state.next(Step.LIST_CHANGES, CallResult.BUSY, true);
         for (int i = 0; i < 6; i++) {
-            world = world.next(Step.NOTHING, CallResult.BUSY, true);
+            state = state.next(Step.NOTHING, CallResult.BUSY, true);
         }
-        assertTrue(world.listChanged && !world.changeDelivered && world.nowUs() >= world.notifiedByUs);
-        assertEquals(false, world.lease.isValidAt(world.nowUs()));
+        assertTrue(state.listChanged && !state.changeDelivered && state.nowUs() >= state.notifiedByUs);
+        assertEquals(false, state.lease.isValidAt(state.nowUs()));
     }
 }
--- a/core/src/test/java/hookweir/membership/ListLeaseTransitionsTest.java
+++ b/core/src/test/java/hookweir/membership/ListLeaseTransitionsTest.java
@@ -7,7 +7,7 @@
 import hookweir.membership.ListLease.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Every transition of the lease on the list. */
+/** Every transition of {@link ListLease}. */
 final class ListLeaseTransitionsTest {
     private static final long START_US = 1_000_000_000L;
     private static final long TERM_US = ListLease.NOTIFICATION_DEADLINE_US - ListLease.SAFETY_MARGIN_US;
@@ -37,7 +37,7 @@
         assertTrue(lease.isValidAt(START_US));
     }
 
-    /** The process takes clients after a while, but sends nothing by a list that may be out of date. */
+    /** The process accepts requests after the start timeout, but sends none by a list that may be out of date. */
     @Test
     void aBusyListServiceExtendsNothing() {
         for (int i = 0; i < 10; i++) {
@@ -49,7 +49,7 @@
         assertEquals(Phase.CACHED, lease.phase());
         assertFalse(lease.isValidAt(START_US));
         refuseTwice(START_US);
-        assertFalse(lease.isValidAt(START_US), "something may have been missed before it went out of reach");
+        assertFalse(lease.isValidAt(START_US), "an update may have been missed before the service became unreachable");
     }
 
     @Test
@@ -83,7 +83,7 @@
         lease.callFailed(ListCallFailure.UNANSWERED, START_US + 2_000_000);
         assertEquals(START_US + TERM_US, lease.expiresAtUs());
         lease.callFailed(ListCallFailure.REFUSED, START_US + 4_000_000);
-        assertEquals(START_US + TERM_US, lease.expiresAtUs(), "it may have had news when it answered");
+        assertEquals(START_US + TERM_US, lease.expiresAtUs(), "the service may have had an update when it answered");
     }
 
     @Test
--- a/core/src/test/java/hookweir/membership/WorkerStartTimesTest.java
+++ b/core/src/test/java/hookweir/membership/WorkerStartTimesTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clocks that disagree by seconds or an hour, both ways, make no worker that has just started look warm, nor cold for longer. */
+/**
+ * Clocks that are seconds or an hour ahead or behind must not make a newly started worker look warm, nor a worker look cold for longer
+ * than it is.
+ */
 final class WorkerStartTimesTest {
     private static final long NOW_US = 1_700_000_000_000_000L;
     private static final long SECOND_US = 1_000_000;
--- a/core/src/test/java/hookweir/room/ResourceBudgetTest.java
+++ b/core/src/test/java/hookweir/room/ResourceBudgetTest.java
@@ -25,105 +25,105 @@
     }
 
     private static ResourceBudget newBudget(long bytes, int jobs) {
-        ResourceBudget room = new ResourceBudget(bytes, jobs);
-        room.setClasses(List.of(requestClass(Idempotency.NON_IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 5), requestClass(Idempotency.KEYED, 1)));
-        return room;
+        ResourceBudget budget = new ResourceBudget(bytes, jobs);
+        budget.setClasses(List.of(requestClass(Idempotency.NON_IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 5), requestClass(Idempotency.KEYED, 1)));
+        return budget;
     }
 
-    private static int admitJobs(ResourceBudget room, int requestClass) {
+    private static int admitJobs(ResourceBudget budget, int requestClass) {
         int n = 0;
-        while (room.admitJob(requestClass) == Admission.ADMIT) {
+        while (budget.admitJob(requestClass) == Admission.ADMIT) {
             n++;
         }
         return n;
     }
 
-    /** The cheap and repeatable are turned away first, the ones that must not run twice last. */
+    /** Jobs that are cheap and safe to repeat are rejected first, those that must not run twice last. */
     @Test
     void cheapAndRepeatableJobsAreRejectedFirst() {
-        ResourceBudget room = newBudget(1 << 24, 100);
-        assertEquals(75, admitJobs(room, 1));
-        assertEquals(9, admitJobs(room, 2));
-        assertEquals(8, admitJobs(room, 3));
-        assertEquals(8, admitJobs(room, 0));
-        assertEquals(Admission.REJECT, room.admitJob(-1));
-        assertEquals(100, room.heldJobs());
+        ResourceBudget budget = newBudget(1 << 24, 100);
+        assertEquals(75, admitJobs(budget, 1));
+        assertEquals(9, admitJobs(budget, 2));
+        assertEquals(8, admitJobs(budget, 3));
+        assertEquals(8, admitJobs(budget, 0));
+        assertEquals(Admission.REJECT, budget.admitJob(-1));
+        assertEquals(100, budget.heldJobs());
     }
 
-    /** Where all classes are alike none has less room than another. */
+    /** If all classes have the same rejection cost, each may use the whole capacity. */
     @Test
     void aSingleClassMayUseTheWholeCapacity() {
-        ResourceBudget room = new ResourceBudget(1 << 24, 100);
-        room.setClasses(List.of(requestClass(Idempotency.IDEMPOTENT, 1)));
-        assertEquals(100, admitJobs(room, 0));
+        ResourceBudget budget = new ResourceBudget(1 << 24, 100);
+        budget.setClasses(List.of(requestClass(Idempotency.IDEMPOTENT, 1)));
+        assertEquals(100, admitJobs(budget, 0));
     }
 
-    /** Bodies wait, small ones never; results still find room when jobs have taken all of theirs. */
+    /** Bodies wait, except small ones; there is still memory for results when job bodies have used up their share. */
     @Test
     void bodiesWaitAndResultsDoNot() {
-        ResourceBudget room = newBudget(1_000_000, 1000);
-        int taken = 0;
-        while (room.reserveBody(0, LARGE_BODY_BYTES) == Admission.ADMIT) {
-            taken++;
+        ResourceBudget budget = newBudget(1_000_000, 1000);
+        int admitted = 0;
+        while (budget.reserveBody(0, LARGE_BODY_BYTES) == Admission.ADMIT) {
+            admitted++;
         }
-        assertEquals(10, taken);
-        assertEquals(Admission.ADMIT, room.reserveBody(0, 4));
-        assertEquals(Admission.ADMIT, room.reserveResult(LARGE_BODY_BYTES));
-        room.addOutput(340_000);
-        assertEquals(Admission.WAIT, room.reserveResult(LARGE_BODY_BYTES));
-        assertTrue(room.isOutputBacklogged());
-        room.releaseOutput(340_000);
-        room.releaseBody(LARGE_BODY_BYTES + 4);
-        assertEquals(Admission.ADMIT, room.reserveBody(0, LARGE_BODY_BYTES));
+        assertEquals(10, admitted);
+        assertEquals(Admission.ADMIT, budget.reserveBody(0, 4));
+        assertEquals(Admission.ADMIT, budget.reserveResult(LARGE_BODY_BYTES));
+        budget.addOutput(340_000);
+        assertEquals(Admission.WAIT, budget.reserveResult(LARGE_BODY_BYTES));
+        assertTrue(budget.isOutputBacklogged());
+        budget.releaseOutput(340_000);
+        budget.releaseBody(LARGE_BODY_BYTES + 4);
+        assertEquals(Admission.ADMIT, budget.reserveBody(0, LARGE_BODY_BYTES));
     }
 
-    /** Limits that fall below what is held: nothing is let in until enough has ended, and nothing breaks. */
+    /** If the limits are lowered below the current usage, nothing is admitted until enough has been released. */
     @Test
     void limitsMayBeLoweredBelowCurrentUsage() {
-        ResourceBudget room = newBudget(1_000_000, 100);
-        assertEquals(100, admitJobs(room, 0));
-        assertEquals(Admission.ADMIT, room.reserveBody(0, 500_000));
-        room.setLimits(256 * 1024, 16);
-        assertEquals(Admission.REJECT, room.admitJob(0));
-        assertEquals(Admission.WAIT, room.reserveBody(0, LARGE_BODY_BYTES));
-        room.releaseBody(500_000);
+        ResourceBudget budget = newBudget(1_000_000, 100);
+        assertEquals(100, admitJobs(budget, 0));
+        assertEquals(Admission.ADMIT, budget.reserveBody(0, 500_000));
+        budget.setLimits(256 * 1024, 16);
+        assertEquals(Admission.REJECT, budget.admitJob(0));
+        assertEquals(Admission.WAIT, budget.reserveBody(0, LARGE_BODY_BYTES));
+        budget.releaseBody(500_000);
         for (int i = 0; i < 85; i++) {
-            room.releaseJob();
+            budget.releaseJob();
         }
-        assertEquals(Admission.ADMIT, room.reserveBody(0, LARGE_BODY_BYTES));
-        assertEquals(Admission.ADMIT, room.admitJob(0));
-        assertEquals(Admission.REJECT, room.admitJob(0));
+        assertEquals(Admission.ADMIT, budget.reserveBody(0, LARGE_BODY_BYTES));
+        assertEquals(Admission.ADMIT, budget.admitJob(0));
+        assertEquals(Admission.REJECT, budget.admitJob(0));
     }
 
-    /** Whatever comes and goes: what is held never passes the limits but by small bodies, and ends at nothing. */
+    /** In any order of reservations and releases, usage exceeds the limits by small bodies at most, and returns to zero. */
     @Property(tries = 60)
     void usageNeverExceedsTheLimits(@ForAll long seed) {
         Random random = new Random(seed);
-        ResourceBudget room = newBudget(2_000_000, 50);
+        ResourceBudget budget = newBudget(2_000_000, 50);
         Deque<Integer> bodies = new ArrayDeque<>();
         Deque<Integer> results = new ArrayDeque<>();
-        int small = 0;
+        int smallBytes = 0;
         for (int i = 0; i < 2000; i++) {
             int bytes = random.nextInt(random.nextBoolean() ? ResourceBudget.SMALL_BODY_BYTES : 65_536);
             if (random.nextBoolean()) {
-                if (room.reserveBody(random.nextInt(4), bytes) == Admission.ADMIT) {
+                if (budget.reserveBody(random.nextInt(4), bytes) == Admission.ADMIT) {
                     bodies.add(bytes);
-                    small += bytes <= ResourceBudget.SMALL_BODY_BYTES ? bytes : 0;
+                    smallBytes += bytes <= ResourceBudget.SMALL_BODY_BYTES ? bytes : 0;
                 }
-            } else if (room.reserveResult(bytes) == Admission.ADMIT) {
+            } else if (budget.reserveResult(bytes) == Admission.ADMIT) {
                 results.add(bytes);
-                small += bytes <= ResourceBudget.SMALL_BODY_BYTES ? bytes : 0;
+                smallBytes += bytes <= ResourceBudget.SMALL_BODY_BYTES ? bytes : 0;
             }
             if (random.nextInt(3) == 0 && !bodies.isEmpty()) {
-                room.releaseBody(bodies.poll());
+                budget.releaseBody(bodies.poll());
             }
             if (random.nextInt(3) == 0 && !results.isEmpty()) {
-                room.releaseResult(results.poll());
+                budget.releaseResult(results.poll());
             }
-            assertTrue(room.heldBytes() <= room.maxBytes() + small);
+            assertTrue(budget.heldBytes() <= budget.maxBytes() + smallBytes);
         }
-        bodies.forEach(room::releaseBody);
-        results.forEach(room::releaseResult);
-        assertEquals(0, room.heldBytes());
+        bodies.forEach(budget::releaseBody);
+        results.forEach(budget::releaseResult);
+        assertEquals(0, budget.heldBytes());
     }
 }
--- a/core/src/test/java/hookweir/timer/TimerWheelTest.java
+++ b/core/src/test/java/hookweir/timer/TimerWheelTest.java
@@ -18,7 +18,7 @@
 class TimerWheelTest {
     private static final Runnable NO_OP = () -> { };
 
-    /** Against a plain sorted map: each comes due once, never early, at most a tick late, unless it was cancelled. */
+    /** Compares the wheel with a sorted map: unless cancelled, each timer fires once, never early and at most one tick late. */
     @Property(tries = 40)
     void agreesWithASortedMap(@ForAll long seed) {
         Random random = new Random(seed);
@@ -35,17 +35,17 @@
                 expected.put(i, at);
             }
             if (random.nextInt(4) == 0 && !expected.isEmpty()) {
-                int victim = expected.firstKey();
-                timers.get(victim).cancel();
-                expected.remove(victim);
+                int cancelled = expected.firstKey();
+                timers.get(cancelled).cancel();
+                expected.remove(cancelled);
             }
             now += random.nextInt(10) == 0 ? random.nextInt(12_000_000) : random.nextInt(3_000);
             assertTrue(wheel.idleTimeUs(now) <= 70_000);
             for (Runnable task = wheel.poll(now); task != null; task = wheel.poll(now)) {
                 task.run();
             }
-            for (int one : fired) {
-                assertTrue(expected.remove(one) <= now, "early");
+            for (int timer : fired) {
+                assertTrue(expected.remove(timer) <= now, "early");
             }
             fired.clear();
             for (long at : expected.values()) {
@@ -55,27 +55,27 @@
         }
     }
 
-    /** What is kept of a million cancelled timers is nothing: neither places nor tasks. */
+    /** A million cancelled timers leave neither list nodes nor references to their tasks. */
     @Test
     void cancelledTimersUseNoMemory() {
         TimerWheel wheel = new TimerWheel(0);
-        WeakReference<Object> seen = null;
+        WeakReference<Object> taskState = null;
         for (int i = 0; i < 1_000_000; i++) {
             byte[] held = new byte[100];
             TimerWheel.Timer t = wheel.schedule(25_000_000L + i, () -> held[0]++);
             if (i == 500_000) {
-                seen = new WeakReference<>(held);
+                taskState = new WeakReference<>(held);
             }
             t.cancel();
         }
         assertEquals(0, wheel.size());
-        for (int i = 0; i < 50 && seen.get() != null; i++) {
+        for (int i = 0; i < 50 && taskState.get() != null; i++) {
             System.gc();
         }
-        assertNull(seen.get());
+        assertNull(taskState.get());
     }
 
-    /** A timer that is due and not yet handed out can be cancelled by the one before it. */
+    /** A timer that is due but has not been returned by poll yet can be cancelled, as by the task of the timer before it. */
     @Test
     void aDueTimerCanBeCancelled() {
         TimerWheel wheel = new TimerWheel(0);
@@ -90,7 +90,7 @@
         assertEquals(0, wheel.size());
     }
 
-    /** A clock that stands still for an hour, with nothing set or with a timer of an hour, loses nothing. */
+    /** No timer is lost if the wheel is not polled for an hour, whether it is empty or has a timer pending. */
     @Test
     void longClockJumpsLoseNoTimer() {
         TimerWheel wheel = new TimerWheel(0);
--- a/node/src/main/java/hookweir/Main.java
+++ b/node/src/main/java/hookweir/Main.java
@@ -14,29 +14,29 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line. */
+/** The command line of hookweir. */
 public final class Main {
     private static final int EXIT_USAGE = 2;
     private static final int EXIT_FAILURE = 1;
 
     /** A sub-command. */
     abstract static class Command {
-        @Option(name = "--help", aliases = "-h", help = true, usage = "prints this")
+        @Option(name = "--help", aliases = "-h", help = true, usage = "prints this help")
         private boolean help;
 
-        /** Runs it; its exit status, where it ends. */
+        /** Runs the command and returns its exit status. */
         abstract int run() throws IOException, InterruptedException;
 
-        /** What it does, in a line. */
+        /** Returns a one-line description. */
         abstract String description();
 
-        /** A call of it, for its help. */
+        /** Returns an example call for the help text. */
         abstract String example();
     }
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class,
-        usage = "serve: the scheduler on sockets, told by the RELAY_ variables; adapter: the same decisions on the simulator's wire;"
-            + " check-config FILE: checks a configuration; rehearse: serves itself a few requests and ends; version")
+        usage = "serve: runs the scheduler, configured by the RELAY_ variables; adapter: runs the scheduling policy for the simulator;"
+            + " check-config FILE: validates a configuration; rehearse: runs a self-test and exits; version: prints the version")
     @SubCommands({
         @SubCommand(name = "serve", impl = Serve.class),
         @SubCommand(name = "adapter", impl = Adapter.class),
@@ -45,7 +45,7 @@
         @SubCommand(name = "version", impl = Version.class)})
     private Command command;
 
-    @Option(name = "--help", aliases = "-h", help = true, usage = "prints this")
+    @Option(name = "--help", aliases = "-h", help = true, usage = "prints this help")
     private boolean help;
 
     /** Entry point. */
@@ -56,12 +56,12 @@
             parser.parseArgument(args);
         } catch (CmdLineException e) {
             System.err.println("hookweir: " + e.getMessage());
-            System.err.println("usage: java -jar hookweir.jar COMMAND, where COMMAND --help tells more");
+            System.err.println("usage: java -jar hookweir.jar COMMAND, see COMMAND --help for details");
             parser.printUsage(System.err);
             System.exit(EXIT_USAGE);
         }
         if (main.help) {
-            System.out.println("usage: java -jar hookweir.jar COMMAND, where COMMAND --help tells more");
+            System.out.println("usage: java -jar hookweir.jar COMMAND, see COMMAND --help for details");
             parser.printUsage(System.out);
         } else if (main.command.help) {
             System.out.println(main.command.description());
@@ -72,11 +72,11 @@
         }
     }
 
-    /** The scheduler. */
+    /** Runs the scheduler. */
     public static final class Serve extends Command {
         @Override
         String description() {
-            return "The scheduler on sockets, told by the RELAY_ variables: see README.md.";
+            return "Runs the scheduler, configured by the RELAY_ variables: see README.md.";
         }
 
         @Override
@@ -98,11 +98,11 @@
         }
     }
 
-    /** The simulator's wire on standard input and output. */
+    /** Runs the scheduling policy for the simulator, on standard input and output. */
     public static final class Adapter extends Command {
         @Override
         String description() {
-            return "The same decisions on the simulator's wire, on standard input and output.";
+            return "Runs the scheduling policy for the simulator, on standard input and output.";
         }
 
         @Override
@@ -117,11 +117,11 @@
         }
     }
 
-    /** Checks a configuration without serving. */
+    /** Validates a configuration file. */
     public static final class CheckConfig extends Command {
         @Override
         String description() {
-            return "Checks a configuration and names the faulty key.";
+            return "Validates a configuration file and names the invalid key.";
         }
 
         @Override
@@ -129,15 +129,15 @@
             return "java -jar hookweir.jar check-config config.json";
         }
 
-        @Argument(required = true, metaVar = "FILE", usage = "the configuration")
+        @Argument(required = true, metaVar = "FILE", usage = "configuration file")
         private String file;
 
         @Override
         int run() {
             try {
-                Config c = ConfigReader.fromFile(Path.of(file), System.getenv());
-                System.out.println("ok: " + c.name() + " on " + c.listenAddress() + ", discovery " + c.listServiceAddress() + ", "
-                    + c.settings().policySettings.classes.size() + " classes, hand-over " + (c.handoverEnabled() ? "on" : "off"));
+                Config config = ConfigReader.fromFile(Path.of(file), System.getenv());
+                System.out.println("ok: " + config.name() + " on " + config.listenAddress() + ", discovery " + config.listServiceAddress() + ", "
+                    + config.settings().policySettings.classes.size() + " classes, handover " + (config.handoverEnabled() ? "on" : "off"));
                 return 0;
             } catch (InvalidSettingException e) {
                 System.err.println("hookweir: " + e.getMessage());
@@ -146,11 +146,11 @@
         }
     }
 
-    /** Serves itself a few requests and ends. */
+    /** Runs a self-test. */
     public static final class Rehearse extends Command {
         @Override
         String description() {
-            return "Serves itself a few requests and ends.";
+            return "Starts a scheduler that serves itself a few requests, and exits.";
         }
 
         @Override
@@ -160,9 +160,9 @@
 
         @Override
         int run() throws IOException, InterruptedException {
-            boolean right = Rehearsal.run();
-            System.out.println(right ? "rehearsal ok" : "rehearsal failed");
-            return right ? 0 : EXIT_FAILURE;
+            boolean passed = Rehearsal.run();
+            System.out.println(passed ? "rehearsal ok" : "rehearsal failed");
+            return passed ? 0 : EXIT_FAILURE;
         }
     }
 
--- a/node/src/main/java/hookweir/adapter/FrameReader.java
+++ b/node/src/main/java/hookweir/adapter/FrameReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Reads one frame at a time into a buffer and takes big-endian fields off it. */
+/** Reads one frame at a time into a buffer and decodes its big-endian fields. */
 final class FrameReader {
     static final int HEADER_BYTES = 16;
     private static final int MAX_FRAME_BYTES = 1 << 30;
@@ -18,18 +18,18 @@
         this.in = in;
     }
 
-    /** Reads the next frame; false at a clean end of input. */
+    /** Reads the next frame; returns false if the input ends before it. */
     boolean readFrame() throws IOException, InvalidInputException {
         frameStart += end;
         offset = 0;
         end = 0;
-        int got = in.readNBytes(buffer, 0, HEADER_BYTES);
-        if (got == 0) {
+        int headerBytes = in.readNBytes(buffer, 0, HEADER_BYTES);
+        if (headerBytes == 0) {
             return false;
         }
-        end = got;
-        if (got < HEADER_BYTES) {
-            throw new InvalidInputException("input ends inside a frame header", frameStart + got);
+        end = headerBytes;
+        if (headerBytes < HEADER_BYTES) {
+            throw new InvalidInputException("input ends inside a frame header", frameStart + headerBytes);
         }
         offset = 4;
         long length = u32();
@@ -39,17 +39,17 @@
         if (length > buffer.length) {
             buffer = java.util.Arrays.copyOf(buffer, (int) Math.max(length, Math.min(2L * buffer.length, MAX_FRAME_BYTES)));
         }
-        int rest = (int) length - HEADER_BYTES;
-        int body = in.readNBytes(buffer, HEADER_BYTES, rest);
-        end = HEADER_BYTES + body;
-        if (body < rest) {
+        int expected = (int) length - HEADER_BYTES;
+        int received = in.readNBytes(buffer, HEADER_BYTES, expected);
+        end = HEADER_BYTES + received;
+        if (received < expected) {
             throw new InvalidInputException("input ends inside a frame of " + length + " bytes", frameStart + end);
         }
         offset = 0;
         return true;
     }
 
-    /** Position in the whole input of the next field. */
+    /** Returns the byte position of the next field in the whole input. */
     long position() {
         return frameStart + offset;
     }
@@ -58,6 +58,7 @@
         return offset == end;
     }
 
+    /** Returns the offset of the next field and moves past it. */
     private int advance(int bytes) throws InvalidInputException {
         if (bytes < 0 || bytes > end - offset) {
             throw new InvalidInputException("a record runs past the end of its frame", frameStart + offset);
--- a/node/src/main/java/hookweir/adapter/FrameWriter.java
+++ b/node/src/main/java/hookweir/adapter/FrameWriter.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Gathers the records of one reply and writes them as one frame. */
+/** Collects the records of one reply and writes them as one frame. */
 final class FrameWriter {
     private static final int HEADER_BYTES = 8;
 
@@ -24,6 +24,7 @@
         }
     }
 
+    /** Starts a record. */
     FrameWriter record(int code, int instance) {
         records++;
         return u8(code).i32(instance);
@@ -49,7 +50,7 @@
         return this;
     }
 
-    /** A time that the wire carries in 32 bits: held inside them. */
+    /** Writes a time as an unsigned 32-bit field; values out of range are clamped. */
     FrameWriter clampedU32(long v) {
         return i32((int) Math.max(0, Math.min(v, 0xffffffffL)));
     }
@@ -65,6 +66,7 @@
         return this;
     }
 
+    /** Writes a UTF-8 string with a 16-bit length; longer strings are truncated. */
     FrameWriter text(String v) {
         byte[] b = v.getBytes(StandardCharsets.UTF_8);
         int n = Math.min(b.length, 0xffff);
--- a/node/src/main/java/hookweir/adapter/InvalidInputException.java
+++ b/node/src/main/java/hookweir/adapter/InvalidInputException.java
@@ -1,10 +1,10 @@
 package hookweir.adapter;
 
-/** The input does not follow the wire. The message says what is wrong and at which byte of the input. */
+/** Thrown for input that violates the simulator protocol. The message names the fault and its byte position in the input. */
 final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidInputException(String what, long atByte) {
-        super(what + " at byte " + atByte);
+    InvalidInputException(String fault, long bytePosition) {
+        super(fault + " at byte " + bytePosition);
     }
 }
--- a/node/src/main/java/hookweir/adapter/Main.java
+++ b/node/src/main/java/hookweir/adapter/Main.java
@@ -9,26 +9,26 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Command line of the adapter: {@code java -jar hookweir.jar adapter}. */
+/** Entry point of the simulator adapter: {@code java -jar hookweir.jar adapter}. */
 public final class Main {
     private Main() {
     }
 
-    /** Entry point. */
+    /** Runs the adapter on standard input and output and exits. */
     public static void main(String[] args) {
         int status;
         if (args.length == 1 && args[0].equals("adapter")) {
             InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16);
             status = run(in, new FileOutputStream(FileDescriptor.out), System.err);
         } else {
-            System.err.println("usage: java -jar hookweir.jar adapter   (the wire on standard input and output)");
+            System.err.println("usage: java -jar hookweir.jar adapter   (simulator protocol on standard input and output)");
             status = 2;
         }
         System.err.flush();
         System.exit(status);
     }
 
-    /** Answers frames until the input ends; the exit status. */
+    /** Processes frames until the input ends; returns the exit status. */
     static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
             new Session(in, out).run();
@@ -37,7 +37,7 @@
             err.println("hookweir adapter: " + e.getMessage());
             return 1;
         } catch (IOException e) {
-            err.println("hookweir adapter: i/o failed: " + e.getMessage());
+            err.println("hookweir adapter: I/O error: " + e.getMessage());
             return 1;
         }
     }
--- a/node/src/main/java/hookweir/adapter/Session.java
+++ b/node/src/main/java/hookweir/adapter/Session.java
@@ -17,15 +17,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** Translates batches of the wire into events of {@link Contract} and its actions into replies. */
+/** Translates batches of the simulator protocol into events of {@link Contract}, and its actions into replies. */
 final class Session {
-    /** Makes the decisions of one instance. */
+    /** Creates the dispatcher of one instance. */
     interface DispatcherFactory {
         Contract.Dispatcher create(Settings settings, long seed, Contract.Host host);
     }
 
+    /** Codes of the event records in the simulator protocol. */
+    private static final int STREAMING = 1;
+    private static final int REQUEST = 2;
+    private static final int PROGRESS = 3;
+    private static final int PROBED = 4;
+    private static final int START = 5;
+    private static final int STOP = 6;
+    private static final int TIMER = 7;
+    private static final int DEFINE_LIST = 8;
+    private static final int PEER_MESSAGE = 9;
+    private static final int OUTCOME = 10;
+    private static final int USE_LIST = 11;
+    private static final int WITHDRAWN = 12;
+    /** Code of the reply record that reports an exception in the dispatcher. */
+    private static final int FATAL = 10;
+
+    /** Scope of a worker list: only the changed workers. */
+    private static final int SCOPE_CHANGES = 2;
+    /** Scope of a worker list: none, as the call to the list service failed. */
+    private static final int SCOPE_FAILED = 3;
+    /** Topic of a progress event: the worker has started the job. */
+    private static final int TOPIC_STARTED = 1;
+    /** Flags of a request. */
+    private static final int FLAG_HAS_HINT = 1;
+    private static final int FLAG_REPEAT = 2;
+    /** States of a worker in a list. */
+    private static final int STATE_DRAINING = 0;
+    private static final int STATE_READY = 1;
+    private static final int STATE_GONE = 2;
+
     private static final int MAX_LISTS = 16;
     private static final int ENTRY_BYTES = 23;
+    /** Offset of the worker's state in a list entry. */
+    private static final int ENTRY_STATE_OFFSET = 16;
 
     private final FrameReader in;
     private final FrameWriter out;
@@ -35,7 +67,7 @@
     private final Report report = new Report();
     private long nowUs;
 
-    /** One simulated dispatcher and its place on the wire. */
+    /** A simulated scheduler instance. */
     private static final class Instance {
         Contract.Dispatcher dispatcher;
         String[] reportFields;
@@ -72,57 +104,57 @@
     private void handleEvent() throws InvalidInputException {
         long at = in.position();
         int code = in.u8();
-        if (code == 8) {
+        if (code == DEFINE_LIST) {
             defineList(at);
             return;
         }
-        if (code == 0 || code > 12) {
+        if (code == 0 || code > WITHDRAWN) {
             throw new InvalidInputException("unknown event code " + code, at);
         }
-        int who = in.i32();
-        if (code == 5) {
-            startInstance(who, at);
+        int instanceId = in.i32();
+        if (code == START) {
+            startInstance(instanceId, at);
             return;
         }
-        Instance it = instances.get(who);
-        if (it == null) {
-            throw new InvalidInputException("event " + code + " for unknown instance " + Integer.toUnsignedString(who), at);
+        Instance instance = instances.get(instanceId);
+        if (instance == null) {
+            throw new InvalidInputException("event " + code + " for unknown instance " + Integer.toUnsignedString(instanceId), at);
         }
         switch (code) {
-            case 1 -> {
+            case STREAMING -> {
                 int id = in.i32();
                 in.skip(4);
                 int attempt = in.u16();
                 in.skip(4);
-                runGuarded(who, () -> it.dispatcher.streamStarted(nowUs, id, attempt));
+                runGuarded(instanceId, () -> instance.dispatcher.streamStarted(nowUs, id, attempt));
             }
-            case 2 -> deliverRequest(who, it);
-            case 3 -> {
+            case REQUEST -> deliverRequest(instanceId, instance);
+            case PROGRESS -> {
                 int id = in.i32();
                 int attempt = in.u16();
                 int worker = in.i32();
                 int topic = in.u8();
                 float share = in.f32();
-                runGuarded(who, () -> it.dispatcher.progressReported(nowUs, id, attempt, worker, topic == 1 ? 0 : share));
+                runGuarded(instanceId, () -> instance.dispatcher.progressReported(nowUs, id, attempt, worker, topic == TOPIC_STARTED ? 0 : share));
             }
-            case 4 -> {
+            case PROBED -> {
                 int worker = in.i32();
                 long elapsed = in.u32();
                 Outcome outcome = readOutcome();
-                Report load = readLoadReport(it);
-                runGuarded(who, () -> it.dispatcher.probeEnded(nowUs, worker, outcome, elapsed, load));
+                Report load = readLoadReport(instance);
+                runGuarded(instanceId, () -> instance.dispatcher.probeEnded(nowUs, worker, outcome, elapsed, load));
             }
-            case 6 -> instances.remove(who);
-            case 7 -> {
+            case STOP -> instances.remove(instanceId);
+            case TIMER -> {
                 long token = in.i64();
-                runGuarded(who, () -> it.dispatcher.timerExpired(nowUs, token));
+                runGuarded(instanceId, () -> instance.dispatcher.timerExpired(nowUs, token));
             }
-            case 9 -> {
+            case PEER_MESSAGE -> {
                 int sender = in.i32();
                 byte[] body = in.bytes(in.u16());
-                runGuarded(who, () -> it.dispatcher.peerMessageReceived(nowUs, sender, body));
+                runGuarded(instanceId, () -> instance.dispatcher.peerMessageReceived(nowUs, sender, body));
             }
-            case 10 -> {
+            case OUTCOME -> {
                 int id = in.i32();
                 int attempt = in.u16();
                 int worker = in.i32();
@@ -130,33 +162,33 @@
                 long elapsed = in.u32();
                 boolean closed = in.u8() != 0;
                 in.skip(4);
-                Report load = readLoadReport(it);
-                runGuarded(who, () -> it.dispatcher.attemptEnded(nowUs, id, attempt, worker, outcome, elapsed, closed, load));
+                Report load = readLoadReport(instance);
+                runGuarded(instanceId, () -> instance.dispatcher.attemptEnded(nowUs, id, attempt, worker, outcome, elapsed, closed, load));
             }
-            case 11 -> deliverList(who, it);
-            case 12 -> {
+            case USE_LIST -> deliverList(instanceId, instance);
+            case WITHDRAWN -> {
                 int id = in.i32();
-                runGuarded(who, () -> it.dispatcher.requestAbandoned(nowUs, id));
+                runGuarded(instanceId, () -> instance.dispatcher.requestAbandoned(nowUs, id));
             }
             default -> throw new InvalidInputException("unknown event code " + code, at);
         }
     }
 
-    private void startInstance(int who, long at) throws InvalidInputException {
+    private void startInstance(int instanceId, long at) throws InvalidInputException {
         long seed = in.i64();
         long n = in.u32();
         long infoAt = in.position();
         SettingsParser parsed = SettingsParser.parse(in.bytes(n), infoAt);
-        Instance it = new Instance();
-        it.reportFields = parsed.reportFields;
-        instances.put(who, it);
-        runGuarded(who, () -> it.dispatcher = factory.create(parsed.settings, seed, new SimulatorHost(who, out)));
+        Instance instance = new Instance();
+        instance.reportFields = parsed.reportFields;
+        instances.put(instanceId, instance);
+        runGuarded(instanceId, () -> instance.dispatcher = factory.create(parsed.settings, seed, new SimulatorHost(instanceId, out)));
     }
 
     private void defineList(long at) throws InvalidInputException {
         int number = in.u16();
         if (number >= MAX_LISTS) {
-            throw new InvalidInputException("list number " + number + " is over " + (MAX_LISTS - 1), at + 1);
+            throw new InvalidInputException("list number " + number + " exceeds " + (MAX_LISTS - 1), at + 1);
         }
         long n = in.u32();
         List<Worker> entries = new ArrayList<>((int) Math.min(n, 1 << 16));
@@ -168,10 +200,10 @@
             w.kind = in.u16();
             w.id = in.i32();
             int state = in.u8();
-            if (state > 2) {
-                throw new InvalidInputException("unknown worker state " + state, entryAt + 16);
+            if (state > STATE_GONE) {
+                throw new InvalidInputException("unknown worker state " + state, entryAt + ENTRY_STATE_OFFSET);
             }
-            w.state = state == 1 ? WorkerState.READY : state == 0 ? WorkerState.DRAINING : WorkerState.GONE;
+            w.state = state == STATE_READY ? WorkerState.READY : state == STATE_DRAINING ? WorkerState.DRAINING : WorkerState.GONE;
             w.size = in.f32();
             w.zone = in.u16();
             entries.add(w);
@@ -179,39 +211,39 @@
         lists.set(number, entries);
     }
 
-    private void deliverList(int who, Instance it) throws InvalidInputException {
+    private void deliverList(int instanceId, Instance instance) throws InvalidInputException {
         long at = in.position();
         int number = in.u16();
         in.skip(4);
         int scope = in.u8();
-        if (scope == 3) {
-            runGuarded(who, () -> it.dispatcher.workerListFailed(nowUs));
+        if (scope == SCOPE_FAILED) {
+            runGuarded(instanceId, () -> instance.dispatcher.workerListFailed(nowUs));
             return;
         }
-        if (scope > 3) {
-            throw new InvalidInputException("unknown scope " + scope + " of a list", at + 6);
+        if (scope > SCOPE_FAILED) {
+            throw new InvalidInputException("unknown list scope " + scope, at + 6);
         }
         List<Worker> entries = number < MAX_LISTS ? lists.get(number) : null;
         if (entries == null) {
             throw new InvalidInputException("list number " + number + " was not defined", at);
         }
-        runGuarded(who, () -> it.dispatcher.workerListReceived(nowUs, scope == 2, entries));
+        runGuarded(instanceId, () -> instance.dispatcher.workerListReceived(nowUs, scope == SCOPE_CHANGES, entries));
     }
 
-    private void deliverRequest(int who, Instance it) throws InvalidInputException {
+    private void deliverRequest(int instanceId, Instance instance) throws InvalidInputException {
         Request request = new Request();
         request.id = in.i32();
         long hint = in.u32();
-        int bits = in.u16();
-        request.costHintUs = (bits & 1) != 0 ? hint : 0;
-        request.clientRetry = (bits & 2) != 0;
+        int flags = in.u16();
+        request.costHintUs = (flags & FLAG_HAS_HINT) != 0 ? hint : 0;
+        request.clientRetry = (flags & FLAG_REPEAT) != 0;
         request.requestClass = in.u16();
         request.slots = in.f32();
         request.tenant = in.i32();
         request.key = in.i64();
         request.memory = in.f32();
         request.deadlineAtUs = in.i64();
-        runGuarded(who, () -> it.dispatcher.requestAccepted(nowUs, request));
+        runGuarded(instanceId, () -> instance.dispatcher.requestAccepted(nowUs, request));
     }
 
     private Outcome readOutcome() throws InvalidInputException {
@@ -230,7 +262,7 @@
         };
     }
 
-    private Report readLoadReport(Instance it) throws InvalidInputException {
+    private Report readLoadReport(Instance instance) throws InvalidInputException {
         int n = in.u8();
         if (n == 0) {
             return null;
@@ -238,21 +270,21 @@
         report.clear();
         for (int i = 0; i < n; i++) {
             double v = in.f32();
-            if (i < it.reportFields.length) {
-                ReportFields.set(report, it.reportFields[i], v);
+            if (i < instance.reportFields.length) {
+                ReportFields.set(report, instance.reportFields[i], v);
             }
         }
         return report;
     }
 
-    /** Runs one event; a failure of the decisions becomes FATAL. */
-    private void runGuarded(int who, Runnable event) {
+    /** Runs one event; an exception in the dispatcher is reported as a FATAL record. */
+    private void runGuarded(int instanceId, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException | StackOverflowError e) {
             StackTraceElement[] trace = e.getStackTrace();
             String where = trace.length > 0 ? " at " + trace[0] : "";
-            out.record(10, who).text(e + where);
+            out.record(FATAL, instanceId).text(e + where);
         }
     }
 }
--- a/node/src/main/java/hookweir/adapter/SettingsParser.java
+++ b/node/src/main/java/hookweir/adapter/SettingsParser.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the path=value lines of START; what they mean is said by {@link SettingsMapping}. */
+/** Parses the path=value lines of a START record; {@link SettingsMapping} interprets them. */
 final class SettingsParser {
     final Settings settings;
     final String[] reportFields;
@@ -17,29 +17,29 @@
         reportFields = mapped.reportFields;
     }
 
-    static SettingsParser parse(byte[] info, long atByte) throws InvalidInputException {
+    static SettingsParser parse(byte[] info, long infoPosition) throws InvalidInputException {
         Map<String, String> values = new HashMap<>();
-        Map<String, Long> places = new HashMap<>();
-        int from = 0;
-        while (from < info.length) {
-            int to = from;
-            while (to < info.length && info[to] != '\n') {
-                to++;
+        Map<String, Long> positions = new HashMap<>();
+        int start = 0;
+        while (start < info.length) {
+            int end = start;
+            while (end < info.length && info[end] != '\n') {
+                end++;
             }
-            String line = new String(info, from, to - from, StandardCharsets.UTF_8).strip();
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq), line.substring(eq + 1));
-                places.put(line.substring(0, eq), atByte + from);
+            String line = new String(info, start, end - start, StandardCharsets.UTF_8).strip();
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(line.substring(0, separator), line.substring(separator + 1));
+                positions.put(line.substring(0, separator), infoPosition + start);
             } else if (!line.isEmpty()) {
-                throw new InvalidInputException("setting without '='", atByte + from);
+                throw new InvalidInputException("setting without '='", infoPosition + start);
             }
-            from = to + 1;
+            start = end + 1;
         }
         try {
             return new SettingsParser(SettingsMapping.of(values));
         } catch (InvalidSettingException e) {
-            throw new InvalidInputException(e.getMessage(), places.getOrDefault(e.key, atByte));
+            throw new InvalidInputException(e.getMessage(), positions.getOrDefault(e.key, infoPosition));
         }
     }
 }
--- a/node/src/main/java/hookweir/config/ConfigReader.java
+++ b/node/src/main/java/hookweir/config/ConfigReader.java
@@ -13,38 +13,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** The one place where configuration is read, checked and given defaults. */
+/** Reads and validates the configuration and applies its defaults. */
 public final class ConfigReader {
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
     private static final int MIN_MAX_DESCRIPTORS = 64;
-    /** One body of the largest size must fit into what jobs may take. */
+    /** Large enough that a body of the maximum size fits into the share for job bodies. */
     private static final int MIN_HELD_BYTES = 256 * 1024;
     private static final int MIN_HELD_JOBS = 16;
     private static final double HELD_SHARE_OF_HEAP = 0.3;
-    /** What a job takes beside its body: its request, the module's own, its attempt and its link. */
+    /** Memory per job beside its body: its request, the policy's state, its attempt and its connection. */
     private static final int OVERHEAD_BYTES_PER_JOB = 4096;
 
     private ConfigReader() {
     }
 
-    /** Reads the file that RELAY_CONFIG names; the other RELAY_ variables, where set, win over its keys. */
+    /** Reads the file that RELAY_CONFIG names; the other RELAY_ variables, if set, override its keys. */
     public static Config fromEnvironment(Map<String, String> env) throws InvalidSettingException {
         String file = env.get("RELAY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new InvalidSettingException("RELAY_CONFIG", "is not set: it names the configuration file");
+            throw new InvalidSettingException("RELAY_CONFIG", "is not set: it must name the configuration file");
         }
         return fromFile(Path.of(file), env);
     }
 
     /**
-     * Reads the file anew for a scheduler that runs: what was told by variable at the start stands, but for
-     * discovery, as the file may name another by now. A key that the running configuration has and this one lacks is
-     * a fault, as a default in its place would change what nobody asked to change.
+     * Reloads the file for a running scheduler. Environment variables still override it, except for RELAY_DISCOVERY, as the file may
+     * name another list service by now. It is an error if a key of the running configuration is missing: applying the default instead would
+     * change a setting that nobody meant to change.
      */
     public static Config reload(Map<String, String> env, Config running) throws InvalidSettingException {
-        Map<String, String> told = new HashMap<>(env);
-        told.remove("RELAY_DISCOVERY");
-        Config next = fromEnvironment(told);
+        Map<String, String> overrides = new HashMap<>(env);
+        overrides.remove("RELAY_DISCOVERY");
+        Config next = fromEnvironment(overrides);
         checkReloadable("", running.sourceJson(), next.sourceJson());
         next.settings().keepClassNumbersOf(running.settings());
         return next;
@@ -53,18 +53,18 @@
     private static void checkReloadable(String path, JsonNode running, JsonNode next) throws InvalidSettingException {
         String dot = path.isEmpty() ? "" : path + ".";
         if (running.isNumber() && !next.isNumber() || running.isObject() && !next.isObject() || running.isArray() && !next.isArray()) {
-            throw new InvalidSettingException(path, "is not of the kind that the running configuration has");
+            throw new InvalidSettingException(path, "does not have the same JSON type as in the running configuration");
         }
         for (Map.Entry<String, JsonNode> e : running.properties()) {
             if (!next.hasNonNull(e.getKey()) && !e.getValue().isNull()) {
-                throw new InvalidSettingException(dot + e.getKey(), "is missing, and the running configuration has it");
+                throw new InvalidSettingException(dot + e.getKey(), "is missing, but the running configuration has it");
             }
-            if (!path.isEmpty() || !e.getKey().equals("known")) { // workers come and go
+            if (!path.isEmpty() || !e.getKey().equals("known")) { // the set of workers may change
                 checkReloadable(dot + e.getKey(), e.getValue(), next.path(e.getKey()));
             }
         }
         if (running.isArray() && !running.isEmpty() && running.get(0).isObject()) {
-            ObjectNode common = running.get(0).deepCopy(); // what each has of a list whose items may come and go
+            ObjectNode common = running.get(0).deepCopy(); // the keys that all items have; the number of items may change
             running.forEach(item -> common.retain(fieldNames(item)));
             for (int i = 0; i < next.size(); i++) {
                 checkReloadable(dot + i, common, next.get(i));
@@ -78,7 +78,7 @@
         return names;
     }
 
-    /** Reads one file. */
+    /** Reads a configuration file. */
     public static Config fromFile(Path file, Map<String, String> env) throws InvalidSettingException {
         JsonNode root;
         try {
@@ -89,7 +89,7 @@
         return parse(root, env);
     }
 
-    /** Checks a parsed configuration. */
+    /** Validates a parsed configuration. */
     static Config parse(JsonNode root, Map<String, String> env) throws InvalidSettingException {
         if (root == null || !root.isObject()) {
             throw new InvalidSettingException("RELAY_CONFIG", "must hold a JSON object");
@@ -111,7 +111,7 @@
         }
         for (int i = 0; i < settings.policySettings.tenantRatePerS.length; i++) {
             if (!settings.tenantNumbers.containsValue(i)) {
-                throw new InvalidSettingException("orgs." + i + ".name", "is missing"); // clients' requests say whose they are by it
+                throw new InvalidSettingException("orgs." + i + ".name", "is missing"); // requests name their owner by it
             }
         }
         if (settings.policySettings.maxAttempts <= 0) {
@@ -134,53 +134,57 @@
             listen,
             admin.isEmpty() ? null : requireAddress("admin_addr", admin),
             requireAddress("discovery", readText(root, "discovery", env, "RELAY_DISCOVERY", "")),
-            readSeed(root), readMaxDescriptors(root), readLimit(root, "held_bytes", MIN_HELD_BYTES, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP),
-            (int) readLimit(root, "held_jobs", MIN_HELD_JOBS, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP / OVERHEAD_BYTES_PER_JOB), known.isObject() ? known : null, settings,
+            readSeed(root),
+            readMaxDescriptors(root),
+            readLimit(root, "held_bytes", MIN_HELD_BYTES, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP),
+            (int) readLimit(root, "held_jobs", MIN_HELD_JOBS, ProcessLimits.maxHeapBytes() * HELD_SHARE_OF_HEAP / OVERHEAD_BYTES_PER_JOB),
+            known.isObject() ? known : null,
+            settings,
             readInherited(env), handover, readInherited(env) && handover ? handoverSocketPath(env, listen) : null, root);
     }
 
-    /** A platform that hands on a listening socket says so by its descriptor; the class library inherits 0 only. */
+    /** The platform names the descriptor of a listening socket that it passes on; Java can inherit descriptor 0 only. */
     private static boolean readInherited(Map<String, String> env) throws InvalidSettingException {
         String descriptor = env.getOrDefault("RELAY_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
-            throw new InvalidSettingException("RELAY_FD", "must be 0, the one descriptor that can be inherited, not '" + descriptor + "'");
+            throw new InvalidSettingException("RELAY_FD", "must be 0, the only descriptor that can be inherited, not '" + descriptor + "'");
         }
         return !descriptor.isEmpty();
     }
 
-    /** Off where the platform refuses Unix sockets, or nobody should come to one. */
+    /** Handover can be disabled where the platform does not permit Unix sockets or nobody should be able to connect to one. */
     private static boolean readHandover(JsonNode root, Map<String, String> env) throws InvalidSettingException {
         String variable = env.getOrDefault("RELAY_HANDOVER", "");
         JsonNode key = root.path("upgrade").path("handover");
-        String told = variable.isEmpty() ? key.isMissingNode() || key.isNull() ? "on" : key.asText() : variable;
-        if (!told.equals("on") && !told.equals("off")) {
-            throw new InvalidSettingException(variable.isEmpty() ? "upgrade.handover" : "RELAY_HANDOVER", "must be on or off, not '" + told + "'");
+        String value = variable.isEmpty() ? key.isMissingNode() || key.isNull() ? "on" : key.asText() : variable;
+        if (!value.equals("on") && !value.equals("off")) {
+            throw new InvalidSettingException(variable.isEmpty() ? "upgrade.handover" : "RELAY_HANDOVER", "must be on or off, not '" + value + "'");
         }
-        return told.equals("on");
+        return value.equals("on");
     }
 
-    /** As short as it can be: the system takes some hundred bytes of it. */
+    /** Returns the shorter of the absolute and the relative path, as the system limits the path of a Unix socket to about 100 bytes. */
     private static Path handoverSocketPath(Map<String, String> env, InetSocketAddress listen) {
-        String folder = env.getOrDefault("TMPDIR", "");
-        Path name = Path.of(folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder,
+        String directory = env.getOrDefault("TMPDIR", "");
+        Path absolute = Path.of(directory.isEmpty() ? System.getProperty("java.io.tmpdir") : directory,
             "hw-" + Integer.toHexString(listen.hashCode())).toAbsolutePath();
-        Path near = Path.of("").toAbsolutePath().relativize(name);
-        return near.toString().length() < name.toString().length() ? near : name;
+        Path relative = Path.of("").toAbsolutePath().relativize(absolute);
+        return relative.toString().length() < absolute.toString().length() ? relative : absolute;
     }
 
-    /** What the system lets the process hold counts, however much more it was promised. */
+    /** The configured number is capped at the system's limit for this process. */
     private static int readMaxDescriptors(JsonNode root) throws InvalidSettingException {
-        long told = readLimit(root, "sockets", MIN_MAX_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS);
-        return (int) Math.max(MIN_MAX_DESCRIPTORS, Math.min(told, ProcessLimits.maxOpenFiles()));
+        long configured = readLimit(root, "sockets", MIN_MAX_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS);
+        return (int) Math.max(MIN_MAX_DESCRIPTORS, Math.min(configured, ProcessLimits.maxOpenFiles()));
     }
 
-    private static long readLimit(JsonNode root, String key, int least, double otherwise) throws InvalidSettingException {
+    private static long readLimit(JsonNode root, String key, int min, double defaultValue) throws InvalidSettingException {
         JsonNode n = root.path("limits").path(key);
         if (n.isMissingNode() || n.isNull()) {
-            return (long) Math.max(least, otherwise);
+            return (long) Math.max(min, defaultValue);
         }
-        if (!n.isNumber() || n.asLong() < least || n.asLong() > Integer.MAX_VALUE) {
-            throw new InvalidSettingException("limits." + key, "must be a number of at least " + least);
+        if (!n.isNumber() || n.asLong() < min || n.asLong() > Integer.MAX_VALUE) {
+            throw new InvalidSettingException("limits." + key, "must be a number of at least " + min);
         }
         return n.asLong();
     }
@@ -198,36 +202,36 @@
     }
 
     private static String readText(JsonNode root, String key, Map<String, String> env, String variable,
-            String otherwise) {
-        String told = env.get(variable);
-        return told != null && !told.isEmpty() ? told : root.path(key).asText(otherwise);
+            String defaultValue) {
+        String override = env.get(variable);
+        return override != null && !override.isEmpty() ? override : root.path(key).asText(defaultValue);
     }
 
-    /** A host:port pair; the host is an address, as there is no DNS. */
+    /** Parses a host:port pair; the host is a numeric address, as no DNS is available. */
     static InetSocketAddress requireAddress(String key, String text) throws InvalidSettingException {
-        InetSocketAddress at = parseAddress(text);
-        if (at == null) {
+        InetSocketAddress address = parseAddress(text);
+        if (address == null) {
             throw new InvalidSettingException(key, "must be ADDRESS:PORT, not '" + text + "'");
         }
-        return at;
+        return address;
     }
 
-    /** Null where the text is no ADDRESS:PORT with a numeric address, as no name can be resolved here. */
+    /** Parses ADDRESS:PORT; returns null if the address is not numeric, as names can't be resolved here. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || colon == text.length() - 1 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
             return null;
         }
         try {
-            InetSocketAddress at = new InetSocketAddress(text.substring(0, colon),
+            InetSocketAddress address = new InetSocketAddress(text.substring(0, colon),
                 Integer.parseInt(text.substring(colon + 1)));
-            return at.isUnresolved() ? null : at;
+            return address.isUnresolved() ? null : address;
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    /** Nested JSON as the wire has it: plain lists joined with commas, lists of objects counted and numbered. */
+    /** Flattens nested JSON to the simulator's format: lists of scalars are joined with commas, lists of objects get a count and indices. */
     static void flatten(String path, JsonNode node, Map<String, String> into) {
         String dot = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
@@ -250,7 +254,7 @@
         }
     }
 
-    /** A value as the wire would carry it: spaces and commas become underscores. */
+    /** Converts a value to the simulator's format: spaces and commas become underscores. */
     public static String toWireToken(String value) {
         return value.replace(' ', '_').replace(',', '_');
     }
--- a/node/src/main/java/hookweir/config/InvalidSettingException.java
+++ b/node/src/main/java/hookweir/config/InvalidSettingException.java
@@ -1,10 +1,10 @@
 package hookweir.config;
 
-/** A setting that can't be used, with the key that holds it. */
+/** Thrown for a setting with an invalid value; names the key that holds it. */
 public final class InvalidSettingException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The faulty key, as a path. */
+    /** Path of the invalid key. */
     public final String key;
 
     InvalidSettingException(String key, String fault) {
--- a/node/src/main/java/hookweir/config/ProcessLimits.java
+++ b/node/src/main/java/hookweir/config/ProcessLimits.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the system lets this process have, as far as it says so. */
+/** Resource limits of this process, as far as the system reports them. */
 final class ProcessLimits {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String OPEN_FILES = "Max open files";
@@ -13,12 +13,12 @@
     private ProcessLimits() {
     }
 
-    /** The heap's most bytes. */
+    /** Returns the maximum heap size in bytes. */
     static long maxHeapBytes() {
         return Runtime.getRuntime().maxMemory();
     }
 
-    /** Descriptors that it may open; the largest number where the system does not say. */
+    /** Returns the soft limit of open file descriptors; {@link Integer#MAX_VALUE} if the system does not report one. */
     static long maxOpenFiles() {
         try {
             for (String line : Files.readAllLines(LIMITS, StandardCharsets.US_ASCII)) {
@@ -28,7 +28,7 @@
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return Integer.MAX_VALUE; // not told here: the configuration's number stands
+            return Integer.MAX_VALUE; // not reported here: the configured number applies
         }
         return Integer.MAX_VALUE;
     }
--- a/node/src/main/java/hookweir/config/ReportFields.java
+++ b/node/src/main/java/hookweir/config/ReportFields.java
@@ -2,21 +2,21 @@
 
 import hookweir.Contract.Report;
 
-/** Where the figures of a load report go, by the names that the settings give them. */
+/** Maps the names that the settings give to load report values to the fields of {@link Report}. */
 public final class ReportFields {
     private ReportFields() {
     }
 
-    /** Sets one figure; false where the module knows none of that name. */
-    public static boolean set(Report report, String name, double v) {
+    /** Sets one value; returns false if the policy has no field for that name. */
+    public static boolean set(Report report, String name, double value) {
         switch (name) {
-            case "x0" -> report.freeSlots = v;
-            case "x1" -> report.freeMemory = v;
-            case "utilization" -> report.utilization = v;
-            case "recent_ms" -> report.serviceTimeMs = v;
-            case "outstanding" -> report.outstanding = v;
-            case "backlog" -> report.queued = v;
-            case "errors_per_s" -> report.errorsPerS = v;
+            case "x0" -> report.freeSlots = value;
+            case "x1" -> report.freeMemory = value;
+            case "utilization" -> report.utilization = value;
+            case "recent_ms" -> report.serviceTimeMs = value;
+            case "outstanding" -> report.outstanding = value;
+            case "backlog" -> report.queued = value;
+            case "errors_per_s" -> report.errorsPerS = value;
             default -> {
                 return false;
             }
--- a/node/src/main/java/hookweir/config/SettingsMapping.java
+++ b/node/src/main/java/hookweir/config/SettingsMapping.java
@@ -13,27 +13,29 @@
 import java.util.Map;
 
 /**
- * The one mapping from settings, as path=value pairs, to {@link Settings}: the adapter gets the pairs from the
- * wire, {@link ConfigReader} by flattening JSON. Unknown keys are ignored; missing ones keep the defaults.
+ * Maps settings, given as path=value pairs, to {@link Settings}. The adapter gets the pairs from the simulator, {@link ConfigReader} by
+ * flattening JSON. Unknown keys are ignored; missing ones keep the defaults.
  */
 public final class SettingsMapping {
     private static final int MAX_ITEMS = 10_000;
 
-    /** What the module is told. */
+    /** Settings of the scheduling policy. */
     public final Settings policySettings = new Settings();
-    /** Names of a load report's figures, in their order. */
+    /** Names of the values in a load report, in order. */
     public String[] reportFields = new String[0];
-    /** Class, zone and kind names; a name's place is its number. Classes that are gone keep theirs. */
+    /** Class names; the index of a class is its number. Classes removed by a reload keep theirs. */
     public final List<String> classNames = new ArrayList<>();
-    /** The numbers of the classes that there are now. */
+    /** Numbers of the classes in the current configuration, by name. */
     public final Map<String, Integer> classNumbers = new LinkedHashMap<>();
-    /** The numbers of the tenants; none where requests have no owner. */
+    /** Numbers of the tenants, by name; empty if requests have no owner. */
     public final Map<String, Integer> tenantNumbers = new LinkedHashMap<>();
+    /** Zone names; the index of a zone is its number. */
     public String[] zoneNames = new String[0];
+    /** Names of the kinds of worker; the index of a kind is its number. */
     public String[] kindNames = new String[0];
-    /** A connection not up by then counts as failed. */
+    /** Connection attempts that take longer count as failed. */
     public long connectTimeoutUs;
-    /** Idle connections are closed by the worker's machine after this. */
+    /** Workers close connections that have been idle for this long. */
     public long connectionIdleTimeoutUs;
 
     private final Map<String, String> values;
@@ -42,11 +44,11 @@
         this.values = values;
     }
 
-    /** Maps the pairs; a value that can't be used is reported with its key. */
+    /** Maps the pairs; an invalid value is reported with its key. */
     public static SettingsMapping of(Map<String, String> values) throws InvalidSettingException {
-        SettingsMapping p = new SettingsMapping(values);
-        p.readAll();
-        return p;
+        SettingsMapping mapping = new SettingsMapping(values);
+        mapping.readAll();
+        return mapping;
     }
 
     private void readAll() throws InvalidSettingException {
@@ -105,17 +107,18 @@
         zoneNames = readNames("zones");
         kindNames = readNames("kinds");
         connectTimeoutUs = readLong("limits.dial_timeout_us", 250_000);
-        s.connectTimeoutUs = 2 * connectTimeoutUs; // the wait for a descriptor, and the dial
+        s.connectTimeoutUs = 2 * connectTimeoutUs; // the wait for a descriptor and the connection attempt
         connectionIdleTimeoutUs = readLong("limits.conn_idle_us", 15_000_000);
     }
 
     /**
-     * Numbers the classes for a scheduler that runs with other settings: jobs under way keep the number that they came
-     * with, so a class that changed gets a new one, and one that is gone leaves its own unused.
+     * Renumbers the classes for a running scheduler that reloads its settings. Jobs in progress keep the number that they were accepted
+     * with, so a class that changed gets a new number, and the number of a removed class is not reused for another one.
      */
     void keepClassNumbersOf(SettingsMapping running) throws InvalidSettingException {
         if (!Arrays.equals(zoneNames, running.zoneNames) || !Arrays.equals(kindNames, running.kindNames)) {
-            throw new InvalidSettingException(Arrays.equals(zoneNames, running.zoneNames) ? "kinds" : "zones", "can't change while serving: the list is numbered by it");
+            throw new InvalidSettingException(Arrays.equals(zoneNames, running.zoneNames) ? "kinds" : "zones",
+                "can't change without a restart: the worker list refers to its entries by number");
         }
         List<RequestClass> classes = new ArrayList<>(running.policySettings.classes);
         List<String> names = new ArrayList<>(running.classNames);
@@ -147,7 +150,7 @@
     private void readTenant(String path, int index) throws InvalidSettingException {
         String name = readText(path + "name", "");
         if (!name.isEmpty() && tenantNumbers.putIfAbsent(name, index) != null) {
-            throw new InvalidSettingException(path + "name", "names '" + name + "', which an earlier one does");
+            throw new InvalidSettingException(path + "name", "repeats the name '" + name + "'");
         }
         policySettings.tenantRatePerS[index] = readDouble(path + "allowance_per_s", 0);
         if (policySettings.tenantRatePerS[index] < 0) {
@@ -156,9 +159,9 @@
         readShare(path + "portion", 0);
     }
 
-    /** A share of something, from 0 to 1. */
-    private double readShare(String key, double otherwise) throws InvalidSettingException {
-        double v = readDouble(key, otherwise);
+    /** Reads a fraction from 0 to 1. */
+    private double readShare(String key, double defaultValue) throws InvalidSettingException {
+        double v = readDouble(key, defaultValue);
         if (v < 0 || v > 1) {
             throw new InvalidSettingException(key, "must be a share from 0 to 1, not '" + values.get(key) + "'");
         }
@@ -201,8 +204,8 @@
         return list.isEmpty() ? new String[0] : list.split(",");
     }
 
-    private String readText(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    private String readText(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
     private boolean readFlag(String key) throws InvalidSettingException {
@@ -224,10 +227,10 @@
         return (int) n;
     }
 
-    private long readLong(String key, long otherwise) throws InvalidSettingException {
+    private long readLong(String key, long defaultValue) throws InvalidSettingException {
         String v = values.get(key);
         if (v == null || v.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Long.parseLong(v);
@@ -236,18 +239,18 @@
         }
     }
 
-    private double readDouble(String key, double otherwise) throws InvalidSettingException {
+    private double readDouble(String key, double defaultValue) throws InvalidSettingException {
         String v = values.get(key);
-        return v == null || v.isEmpty() ? otherwise : parseDouble(key, v);
+        return v == null || v.isEmpty() ? defaultValue : parseDouble(key, v);
     }
 
-    private double readListItem(String key, int index, double otherwise) throws InvalidSettingException {
+    private double readListItem(String key, int index, double defaultValue) throws InvalidSettingException {
         String v = values.get(key);
         if (v == null || v.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         String[] parts = v.split(",");
-        return index < parts.length ? parseDouble(key, parts[index]) : otherwise;
+        return index < parts.length ? parseDouble(key, parts[index]) : defaultValue;
     }
 
     private double parseDouble(String key, String v) throws InvalidSettingException {
@@ -257,7 +260,7 @@
                 return d;
             }
         } catch (NumberFormatException e) {
-            // falls through to the plain message
+            // reported below, as infinite numbers are
         }
         throw unusable(key, v);
     }
--- a/node/src/test/java/hookweir/DeployTest.java
+++ b/node/src/test/java/hookweir/DeployTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the whole fleet's days ask of `run` (STANDING.md): it ends by exec in one process, and that process starts
- * no other program and uses no fork, io_uring, splice or sendfile; a Unix socket only for the hand-over between two
- * processes of one scheduler, which is asked for by RELAY_FD alone and fails safe where such sockets are refused.
+ * Checks the requirements on the deployment's {@code run} command (STANDING.md): it ends by exec in one Java process, and that process
+ * starts no other program and uses no fork, io_uring, splice or sendfile. A Unix socket is used only for the handover between two
+ * processes of one scheduler, which RELAY_FD alone enables and which fails safe where such sockets are not permitted.
  */
 final class DeployTest {
     private static final Path DEPLOY = Path.of("../deploy/balancer.toml");
@@ -30,13 +30,13 @@
     void runEndsByExecInOneJavaProcess() throws IOException {
         String run = key("run");
         assertTrue(run.startsWith("exec java "), run);
-        for (String joint : List.of("&&", "||", ";", "|", "&", "$(", "`")) {
-            assertFalse(run.contains(joint), "run joins commands by " + joint);
+        for (String operator : List.of("&&", "||", ";", "|", "&", "$(", "`")) {
+            assertFalse(run.contains(operator), "run joins commands by " + operator);
         }
         assertTrue(run.endsWith(" serve"), run);
     }
 
-    /** One program for all who run it: what differs between them is in the settings, never behind a name. */
+    /** All operators run the same program: differences between them are in the settings, never in code that checks a name. */
     @Test
     void noOperatorSiteOrClassIsNamedInTheSources() throws IOException {
         Pattern names = Pattern.compile("\\b(kyte|k[uü]ttel|r[eé]par'?armor|reparo|kemper|tallinn|tartu|parnu|rennes|brest|atelier|calc-workers|live-status"
@@ -45,8 +45,8 @@
         for (Path sources : List.of(SOURCES, Path.of("../core").resolve(SOURCES))) {
             try (Stream<Path> files = Files.walk(sources)) {
                 for (Path f : files.filter(p -> p.toString().endsWith(".java")).toList()) {
-                    Matcher named = names.matcher(Files.readString(f));
-                    assertFalse(named.find(), () -> f + " names " + named.group());
+                    Matcher match = names.matcher(Files.readString(f));
+                    assertFalse(match.find(), () -> f + " names " + match.group());
                     read++;
                 }
             }
@@ -66,7 +66,7 @@
                 }
                 boolean unix = text.contains("StandardProtocolFamily.UNIX") || text.contains("UnixDomainSocketAddress");
                 assertTrue(!unix || f.endsWith(Path.of("hookweir/net/upgrade/Succession.java")),
-                    f + " opens a Unix socket outside the hand-over");
+                    f + " opens a Unix socket outside the handover");
             }
         }
     }
--- a/node/src/test/java/hookweir/adapter/SessionTest.java
+++ b/node/src/test/java/hookweir/adapter/SessionTest.java
@@ -16,9 +16,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The wire, on frames put together here from its layout. */
+/** Tests the simulator protocol with frames that are assembled here byte by byte. */
 class SessionTest {
-    /** Notes down events and answers some of them with actions. */
+    /** Records the events and responds to some of them with actions. */
     private static final class RecordingDispatcher implements Contract.Dispatcher {
         final List<String> events = new ArrayList<>();
         final Contract.Host host;
@@ -111,9 +111,9 @@
         return records.put((byte) code);
     }
 
-    private void start(int who, String info) {
+    private void start(int instanceId, String info) {
         byte[] b = info.getBytes(StandardCharsets.UTF_8);
-        record(5).putInt(who).putLong(99).putInt(b.length).put(b);
+        record(5).putInt(instanceId).putLong(99).putInt(b.length).put(b);
     }
 
     private void defineList(int number, int... ids) {
@@ -139,9 +139,9 @@
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Session(new ByteArrayInputStream(in.toByteArray()), out, (settings, seed, host) -> {
-            RecordingDispatcher spy = new RecordingDispatcher(settings, host);
-            dispatchers.add(spy);
-            return spy;
+            RecordingDispatcher dispatcher = new RecordingDispatcher(settings, host);
+            dispatchers.add(dispatcher);
+            return dispatcher;
         }).run();
         return out.toByteArray();
     }
--- a/node/src/test/java/hookweir/config/ConfigReaderTest.java
+++ b/node/src/test/java/hookweir/config/ConfigReaderTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A default in place of a lost key changed what nobody asked to change; such files are refused whole. */
+    /** A default in place of a missing key would change a setting that nobody meant to change, so such files are rejected as a whole. */
     @Test
     void invalidFilesAreRejectedOnReload() throws Exception {
         Config running = read(RUNNING, Map.of());
@@ -65,10 +65,10 @@
             InvalidSettingException e = assertThrows(InvalidSettingException.class, () -> reload(running, fault[0], fault[1]), fault[2]);
             assertEquals(fault[2], e.key.replaceFirst("^settings\\.", ""));
         }
-        assertThrows(InvalidSettingException.class, () -> read(RUNNING.replace("'max_attempts':3", "'max_attempts':0"), Map.of())); // also at the start
+        assertThrows(InvalidSettingException.class, () -> read(RUNNING.replace("'max_attempts':3", "'max_attempts':0"), Map.of())); // also at startup
     }
 
-    /** Jobs under way keep their class: what changed gets a new number, what is gone is known no more, and may come back. */
+    /** Jobs in progress keep their class: a changed class gets a new number; a removed one is no longer known, but may come back. */
     @Test
     void classesThatChangeGetNewNumbers() throws Exception {
         Config first = read(RUNNING, Map.of());
@@ -82,7 +82,7 @@
         assertEquals(Map.of("a", 0, "b", 1), reload(second).settings().classNumbers);
     }
 
-    /** As only descriptor 0 can be inherited, another is a fault. */
+    /** Only descriptor 0 can be inherited; any other is rejected. */
     @Test
     void onlyDescriptorZeroIsInherited() throws Exception {
         assertTrue(read(VALID, Map.of("RELAY_FD", "0", "TMPDIR", "/tmp")).inheritsListenSocket());
@@ -90,7 +90,7 @@
         assertEquals("admin_addr", assertThrows(InvalidSettingException.class, () -> read(VALID, Map.of("RELAY_ADMIN_ADDR", "here"))).key);
     }
 
-    /** On unless told otherwise; the variable wins, and a fault names whoever said it. */
+    /** Handover is on by default; the variable overrides the key, and an error names whichever of them was invalid. */
     @Test
     void handoverCanBeDisabled() throws Exception {
         String off = VALID.replace("'limits'", "'upgrade':{'handover':'off'},'limits'");
