--- a/core/src/test/java/hookweir/ColdBudgetTest.java
+++ b/core/src/test/java/hookweir/ColdBudgetTest.java
@@ -23,7 +23,7 @@
     private static final long MEAN_WORK_US = 400_000;
     private static final double SPREAD = 1.0;
     private static final int SLOTS = 3;
-    private static final int FEW = 30;
+    private static final int SMALL_BUDGET = 30;
 
     /** A job's end at a worker. */
     private record End(long atUs, long sentUs, int dispatcher, int request, int worker) implements Comparable<End> {
@@ -51,12 +51,12 @@
         private final long startUs;
         private final int workers;
         private int requests;
-        private double mostOver = Double.NEGATIVE_INFINITY;
+        private double maxBudgetUse = Double.NEGATIVE_INFINITY;
 
         World(int dispatcherCount, int workers, double coldShare, long seed) {
             this.workers = workers;
             random = new Random(seed);
-            settings = RecordingHost.probing(Idempotency.IDEMPOTENT);
+            settings = RecordingHost.probingSettings(Idempotency.IDEMPOTENT);
             settings.schedulerCount = dispatcherCount;
             settings.coldCapacityShare = coldShare;
             settings.collapseLoadFactor = 3;
@@ -73,9 +73,9 @@
             Contract.Worker[] fleet = RecordingHost.workers(workers);
             for (int d = 0; d < dispatcherCount; d++) {
                 RecordingHost h = RecordingHost.with(settings, seed * 1000 + d);
-                h.fleet(fleet);
+                h.replaceWorkers(fleet);
                 for (int w = 0; w < workers; w++) {
-                    h.report(w, SLOTS);
+                    h.reportFreeSlots(w, SLOTS);
                 }
                 dispatchers.add(h);
             }
@@ -85,27 +85,27 @@
                 cold[w] = RecordingHost.worker(w);
                 cold[w].startedAtUs = startUs;
             }
-            dispatchers.forEach(h -> h.change(cold));
+            dispatchers.forEach(h -> h.changeWorkers(cold));
         }
 
-        private double warmth(int worker, long now) {
+        private double warmFraction(int worker, long now) {
             boolean cold = worker < workers / 2;
             return !cold ? 1 : settings.coldCapacityShare + (1 - settings.coldCapacityShare) * (now - startUs) / settings.warmUpUs;
         }
 
         /** Jobs come at so many times what the warm fleet can do. */
-        void play(double load) {
+        void run(double load) {
             double perStep = load * workers * SLOTS * STEP_US / MEAN_WORK_US;
             for (long now = startUs; now < startUs + LENGTH_US; now += STEP_US) {
                 for (int jobs = poisson(perStep); jobs > 0; jobs--) {
-                    ask(random.nextInt(dispatchers.size()));
+                    submitRequest(random.nextInt(dispatchers.size()));
                 }
                 for (int d = 0; d < dispatchers.size(); d++) {
-                    dispatchers.get(d).pass(STEP_US);
-                    answerProbes(d);
-                    take(d);
+                    dispatchers.get(d).advance(STEP_US);
+                    respondToProbes(d);
+                    processSends(d);
                 }
-                finish(now);
+                endJobs(now);
             }
         }
 
@@ -117,23 +117,23 @@
             return n;
         }
 
-        private void ask(int d) {
+        private void submitRequest(int d) {
             RecordingHost h = dispatchers.get(d);
-            Contract.Request r = h.request(requests, settings);
+            Contract.Request r = h.newRequest(requests, settings);
             r.costHintUs = (long) (MEAN_WORK_US * Math.exp(SPREAD * random.nextGaussian() - SPREAD * SPREAD / 2));
             works[requests++] = r.costHintUs;
             h.policy.requestAccepted(h.now, r);
         }
 
-        private void answerProbes(int d) {
+        private void respondToProbes(int d) {
             RecordingHost h = dispatchers.get(d);
             for (; probesSeen[d] < h.probes.size(); probesSeen[d]++) {
                 int w = h.probes.get(probesSeen[d]);
-                h.report(w, Math.max(0, SLOTS - busy[w]));
+                h.reportFreeSlots(w, Math.max(0, SLOTS - busy[w]));
             }
         }
 
-        private void take(int d) {
+        private void processSends(int d) {
             RecordingHost h = dispatchers.get(d);
             for (; sendsSeen[d] < h.actions.size(); sendsSeen[d]++) {
                 String[] action = h.actions.get(sendsSeen[d]).split(" ");
@@ -146,7 +146,7 @@
         private void sent(int d, int request, int worker, long now) {
             busy[worker]++;
             double queued = Math.max(1, busy[worker] / (double) SLOTS);
-            ends.add(new End(now + (long) (works[request] * queued / warmth(worker, now)), now, d, request, worker));
+            ends.add(new End(now + (long) (works[request] * queued / warmFraction(worker, now)), now, d, request, worker));
             if (worker >= workers / 2) {
                 return;
             }
@@ -155,12 +155,12 @@
             while (window.peek().atUs < now - settings.collapseAfterUs) {
                 window.poll();
             }
-            double n = settings.collapseLoadFactor * SLOTS * warmth(worker, Math.max(startUs, now - settings.collapseAfterUs)) * settings.collapseAfterUs / MEAN_WORK_US;
-            double budget = n < FEW ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
-            mostOver = Math.max(mostOver, window.stream().mapToDouble(Sent::work).sum() / budget);
+            double n = settings.collapseLoadFactor * SLOTS * warmFraction(worker, Math.max(startUs, now - settings.collapseAfterUs)) * settings.collapseAfterUs / MEAN_WORK_US;
+            double budget = n < SMALL_BUDGET ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
+            maxBudgetUse = Math.max(maxBudgetUse, window.stream().mapToDouble(Sent::work).sum() / budget);
         }
 
-        private void finish(long now) {
+        private void endJobs(long now) {
             while (!ends.isEmpty() && ends.peek().atUs <= now) {
                 End e = ends.poll();
                 busy[e.worker]--;
@@ -172,12 +172,12 @@
     @ParameterizedTest
     @CsvSource({"1, 10, 0.7, 0.16", "1, 10, 1.6, 0.05", "4, 10, 0.7, 0.16", "4, 10, 1.6, 0.05", "30, 30, 0.7, 0.05", "30, 30, 1.6, 0.05", "30, 30, 1.6, 0.16",
         "30, 30, 2.3, 0.05", "30, 30, 2.3, 0.16", "120, 60, 1.0, 0.16", "120, 60, 2.3, 0.16"})
-    void whatColdWorkersAreSentStaysWithinTheirBudgets(int dispatchers, int workers, double load, double coldShare) {
+    void workSentToColdWorkersStaysWithinBudget(int dispatchers, int workers, double load, double coldShare) {
         double most = 0;
         for (long seed = 1; seed <= 3; seed++) {
             World world = new World(dispatchers, workers, coldShare, seed);
-            world.play(load);
-            most = Math.max(most, world.mostOver);
+            world.run(load);
+            most = Math.max(most, world.maxBudgetUse);
         }
         assertTrue(most <= 1, "of a budget: " + most);
         assertTrue(most > 0.1, "cold workers get work: " + most);
--- a/core/src/test/java/hookweir/LargeFleetTest.java
+++ b/core/src/test/java/hookweir/LargeFleetTest.java
@@ -12,7 +12,7 @@
 class LargeFleetTest {
     private static final int WORKERS = 1000;
     private static final int JOBS = 20_000;
-    private static final int FEW = 400;
+    private static final int FEW_JOBS = 400;
 
     private static RecordingHost host(Contract.Settings s) {
         RecordingHost h = RecordingHost.with(s, 11);
@@ -21,20 +21,20 @@
             fleet[i] = worker(i);
             fleet[i].kind = i % 250 == 7 ? 1 : 0;
         }
-        h.fleet(fleet);
+        h.replaceWorkers(fleet);
         return h;
     }
 
-    private static int[] sends(RecordingHost h, Contract.Settings s, boolean heard, int jobs, long gapUs) {
+    private static int[] sends(RecordingHost h, Contract.Settings s, boolean reported, int jobs, long gapUs) {
         int[] to = new int[WORKERS];
         for (int id = 0; id < jobs; id++) {
             h.now += gapUs;
-            if (heard && id % 20 == 0) {
+            if (reported && id % 20 == 0) {
                 for (int i = 0; i < WORKERS; i++) {
-                    h.report(i, i % 2 == 0 ? 8 : i % 4 == 1 ? 4 : 0);
+                    h.reportFreeSlots(i, i % 2 == 0 ? 8 : i % 4 == 1 ? 4 : 0);
                 }
             }
-            h.take(id, s);
+            h.accept(id, s);
             int worker = h.sentTo.get(id);
             to[worker]++;
             h.policy.attemptEnded(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void sharesFollowRoomOverAllOfIt() {
+    void sharesFollowFreeSlotsOverTheWholeFleet() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         s.probesAllowed = false;
         int[] to = sends(host(s), s, true, JOBS, 10);
@@ -72,17 +72,17 @@
 
     /** Four of a thousand can do this class: no part may hold one, and then all are looked through. */
     @Test
-    void theFewThatFitAreFound() {
+    void findsTheFewEligibleWorkers() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         s.probesAllowed = false;
         s.classes.get(0).requiredKind = 1;
-        int[] to = sends(host(s), s, false, FEW, 4_000_000);
+        int[] to = sends(host(s), s, false, FEW_JOBS, 4_000_000);
         for (int i = 0; i < WORKERS; i++) {
-            assertTrue(i % 250 == 7 ? to[i] > FEW / 8 : to[i] == 0, "worker " + i + " got " + to[i]);
+            assertTrue(i % 250 == 7 ? to[i] > FEW_JOBS / 8 : to[i] == 0, "worker " + i + " got " + to[i]);
         }
     }
 
-    private static Contract.Worker[] named(int from, int to) {
+    private static Contract.Worker[] workersNumbered(int from, int to) {
         Contract.Worker[] fleet = new Contract.Worker[to - from];
         for (int i = from; i < to; i++) {
             fleet[i - from] = worker(i);
@@ -91,11 +91,11 @@
     }
 
     /** Which of 20 workers get jobs: as a bit each. */
-    private static int reached(RecordingHost h, Contract.Settings s, int firstJob) {
+    private static int workersReached(RecordingHost h, Contract.Settings s, int firstJob) {
         int bits = 0;
-        for (int id = firstJob; id < firstJob + FEW; id++) {
+        for (int id = firstJob; id < firstJob + FEW_JOBS; id++) {
             h.now += 4_000_000;
-            h.take(id, s);
+            h.accept(id, s);
             int worker = h.sentTo.get(h.sentTo.size() - 1);
             bits |= 1 << worker;
             h.policy.attemptEnded(h.now, id, 0, worker, Outcome.OK, 500_000, true, null);
@@ -105,33 +105,33 @@
 
     /** A list that shrinks by half and comes back: nobody who left it gets a job, and all who came back do. */
     @Test
-    void aListThatShrinksByHalfAndComesBackIsFollowed() {
+    void followsAListThatShrinksByHalfAndRecovers() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 3);
-        h.fleet(named(0, 20));
-        assertEquals(0xfffff, reached(h, s, 1));
-        h.fleet(named(0, 10));
-        assertEquals(0x3ff, reached(h, s, 1_001));
-        h.fleet(named(0, 20));
-        assertEquals(0xfffff, reached(h, s, 2_001));
+        h.replaceWorkers(workersNumbered(0, 20));
+        assertEquals(0xfffff, workersReached(h, s, 1));
+        h.replaceWorkers(workersNumbered(0, 10));
+        assertEquals(0x3ff, workersReached(h, s, 1_001));
+        h.replaceWorkers(workersNumbered(0, 20));
+        assertEquals(0xfffff, workersReached(h, s, 2_001));
     }
 
     /** Six in ten names go and as many new ones come within a second; a job out at one that went is told of its end all the same. */
     @Test
-    void sixInTenNamesReplacedWithinASecond() {
+    void sixOfTenWorkersReplacedWithinASecond() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 3);
-        h.fleet(named(0, 12));
-        h.take(9_999, s);
+        h.replaceWorkers(workersNumbered(0, 12));
+        h.accept(9_999, s);
         int first = h.sentTo.get(0);
         for (int gone = 0; gone < 7; gone++) {
             h.now += 100_000;
             Contract.Worker w = worker(gone);
             w.state = Contract.WorkerState.GONE;
-            h.change(w, worker(13 + gone));
+            h.changeWorkers(w, worker(13 + gone));
         }
         h.policy.attemptEnded(h.now, 9_999, 0, first, Outcome.RESET, 700_000, false, null);
         assertTrue(h.sentTo.get(1) >= 7 && h.sentTo.get(1) != first, "again at " + h.sentTo.get(1));
-        assertEquals(0xfff80 & ~(1 << 12), reached(h, s, 1));
+        assertEquals(0xfff80 & ~(1 << 12), workersReached(h, s, 1));
     }
 }
--- a/core/src/test/java/hookweir/ManyDispatchersTest.java
+++ b/core/src/test/java/hookweir/ManySchedulersTest.java
@@ -1,6 +1,6 @@
 package hookweir;
 
-import static hookweir.RecordingHost.probing;
+import static hookweir.RecordingHost.probingSettings;
 import static hookweir.RecordingHost.settings;
 import static hookweir.RecordingHost.worker;
 import static hookweir.RecordingHost.workers;
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What each of many dispatchers does for itself, summed over all; and what one that sees few requests knows at once. */
-final class ManyDispatchersTest {
-    private static final int DISPATCHERS = 14;
+final class ManySchedulersTest {
+    private static final int SCHEDULERS = 14;
     private static final int WORKERS = 60;
     private static final int SEEDS = 400;
 
-    private static Contract.Worker sized(int id, int kind, double size) {
+    private static Contract.Worker workerOfSize(int id, int kind, double size) {
         Contract.Worker w = worker(id);
         w.kind = kind;
         w.size = size;
@@ -27,29 +27,29 @@
     }
 
     @Test
-    void atAStartWorkersAreNotCheckedByEveryDispatcher() {
+    void notEverySchedulerProbesEveryWorkerAtStart() {
         int checks = 0;
-        for (int d = 0; d < DISPATCHERS; d++) {
-            RecordingHost h = RecordingHost.with(probing(Idempotency.IDEMPOTENT), 100 + d);
-            h.fleet(workers(WORKERS));
-            h.pass(5_000_000);
+        for (int d = 0; d < SCHEDULERS; d++) {
+            RecordingHost h = RecordingHost.with(probingSettings(Idempotency.IDEMPOTENT), 100 + d);
+            h.replaceWorkers(workers(WORKERS));
+            h.advance(5_000_000);
             checks += h.probes.size();
         }
-        assertTrue(checks < DISPATCHERS * WORKERS / 4, checks + " checks of " + WORKERS + " idle workers in 5 s");
+        assertTrue(checks < SCHEDULERS * WORKERS / 4, checks + " checks of " + WORKERS + " idle workers in 5 s");
     }
 
     @Test
-    void aHeavyJobGoesToTheFastKindBeforeAnyOutcome() {
+    void aLongJobGoesToTheFastKindBeforeAnyResult() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.sizeMetric = Contract.SizeMetric.NOMINAL;
         s.classes.get(0).softDeadlineStretch = 1.5;
         int fast = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
-            h.fleet(sized(1, 0, 4), sized(2, 1, 2));
-            h.report(1, 4);
-            h.report(2, 4);
-            Contract.Request r = h.request(1, s);
+            h.replaceWorkers(workerOfSize(1, 0, 4), workerOfSize(2, 1, 2));
+            h.reportFreeSlots(1, 4);
+            h.reportFreeSlots(2, 4);
+            Contract.Request r = h.newRequest(1, s);
             r.costHintUs = 3_000_000; // twice as long on the slow kind: 6 s, and 5.5 s are wanted
             h.policy.requestAccepted(h.now, r);
             fast += h.sentTo.get(0) == 1 ? 1 : 0;
@@ -58,12 +58,12 @@
     }
 
     /** Shares of jobs that go to a cold worker nobody has heard, beside a warm one that is full. */
-    private static double toCold(long hintUs, long afterUs) {
-        return toCold(hintUs, afterUs, 1);
+    private static double shareToColdWorker(long hintUs, long afterUs) {
+        return shareToColdWorker(hintUs, afterUs, 1);
     }
 
     /** After so many jobs that are too long for it. */
-    private static double toCold(long hintUs, long afterUs, int longJobs) {
+    private static double shareToColdWorker(long hintUs, long afterUs, int longJobs) {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.coldCapacityShare = 0.25;
         int cold = 0;
@@ -71,17 +71,17 @@
             RecordingHost h = RecordingHost.with(s, seed);
             Contract.Worker started = worker(2);
             started.startedAtUs = h.now;
-            h.fleet(worker(1), started);
-            h.pass(afterUs);
-            h.report(1, 4);
-            h.report(1, 0);
+            h.replaceWorkers(worker(1), started);
+            h.advance(afterUs);
+            h.reportFreeSlots(1, 4);
+            h.reportFreeSlots(1, 0);
             for (int job = 1; job <= longJobs; job++) {
-                Contract.Request before = h.request(job, s);
+                Contract.Request before = h.newRequest(job, s);
                 before.costHintUs = 800_000; // too long for the cold one: held, and the fleet known to be full
                 h.policy.requestAccepted(h.now, before);
             }
             h.sentTo.clear();
-            Contract.Request r = h.request(1 + longJobs, s);
+            Contract.Request r = h.newRequest(1 + longJobs, s);
             r.costHintUs = hintUs;
             h.policy.requestAccepted(h.now, r);
             cold += !h.sentTo.isEmpty() && h.sentTo.get(0) == 2 ? 1 : 0;
@@ -90,22 +90,22 @@
     }
 
     @Test
-    void aColdWorkerThatNobodyHeardTakesItsShareWhileTheOthersAreFull() {
+    void aColdWorkerWithoutReportsGetsItsShareWhileOthersAreFull() {
         // A third more than its capacity, where twice as much would push it over; no long jobs go there.
-        assertEquals(0.25, toCold(100_000, 0), 0.06); // 0.25 * 1.34 of 1.335
-        assertEquals(0.456, toCold(100_000, 5_000_000), 0.07); // 0.625 * 1.34 of 1.84
+        assertEquals(0.25, shareToColdWorker(100_000, 0), 0.06); // 0.25 * 1.34 of 1.335
+        assertEquals(0.456, shareToColdWorker(100_000, 5_000_000), 0.07); // 0.625 * 1.34 of 1.84
     }
 
     /** Else it idles while short jobs are turned away: most of the work is not for it, so it takes more of what is. */
     @Test
-    void whereMostWorkIsTooLongForAColdWorkerItTakesMoreOfTheShortJobs() {
-        assertEquals(0.53, toCold(100_000, 0, 80), 0.08); // 0.25 * 4.5 of 2.125
+    void aColdWorkerGetsMoreShortJobsIfMostAreTooLong() {
+        assertEquals(0.53, shareToColdWorker(100_000, 0, 80), 0.08); // 0.25 * 4.5 of 2.125
     }
 
     @Test
-    void aColdWorkerGetsNoJobThatItsSlowRunWouldMakeLate() {
-        assertEquals(0, toCold(300_000, 0)); // four times as long: 1.2 s of 1 s
-        assertTrue(toCold(300_000, 5_000_000) > 0.2, "warm enough for it by then");
+    void aColdWorkerGetsNoJobThatItWouldFinishLate() {
+        assertEquals(0, shareToColdWorker(300_000, 0)); // four times as long: 1.2 s of 1 s
+        assertTrue(shareToColdWorker(300_000, 5_000_000) > 0.2, "warm enough for it by then");
     }
 
     /** A list says that a worker starts in an hour: cold from now on, it is warm in the time that the settings give. */
@@ -115,12 +115,12 @@
         RecordingHost h = RecordingHost.with(s, 1);
         Contract.Worker ahead = worker(1);
         ahead.startedAtUs = h.now + 3_600_000_000L;
-        h.fleet(ahead);
-        h.pass(10_000_000);
-        h.report(1, 4);
+        h.replaceWorkers(ahead);
+        h.advance(10_000_000);
+        h.reportFreeSlots(1, 4);
         for (int job = 1; job <= 2; job++) {
-            h.fleet(ahead); // the same list again is no new start
-            Contract.Request r = h.request(job, s);
+            h.replaceWorkers(ahead); // the same list again is no new start
+            Contract.Request r = h.newRequest(job, s);
             r.costHintUs = 300_000; // a cold one would need 3 s for it
             h.policy.requestAccepted(h.now, r);
         }
@@ -132,7 +132,7 @@
      * fleet's capacity; what is sent to the cold worker stays under the multiple of what it can do.
      */
     @Test
-    void whatAllDispatchersSendAColdWorkerStaysUnderTheMultipleOfItsCapacity() {
+    void allSchedulersTogetherStayBelowAColdWorkersCollapseLoad() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.coldCapacityShare = 0.2;
         s.collapseLoadFactor = 3;
@@ -141,13 +141,13 @@
         int slots = 4;
         Random jobs = new Random(5);
         List<RecordingHost> hosts = new ArrayList<>();
-        for (int d = 0; d < DISPATCHERS; d++) {
+        for (int d = 0; d < SCHEDULERS; d++) {
             RecordingHost h = RecordingHost.with(s, d);
             Contract.Worker[] fleet = workers(warm + 1);
             fleet[0].startedAtUs = h.now;
-            h.fleet(fleet);
+            h.replaceWorkers(fleet);
             for (int w = 1; w <= warm; w++) {
-                h.report(w, slots);
+                h.reportFreeSlots(w, slots);
             }
             hosts.add(h);
         }
@@ -158,9 +158,9 @@
         for (double t = 0; t < seconds; ) {
             double work = jobs.nextInt(5) == 0 ? 2.0 : 0.1 + 0.3 * jobs.nextDouble();
             t += work / (warm * slots); // all slots busy in the mean
-            RecordingHost h = hosts.get(jobs.nextInt(DISPATCHERS));
-            h.pass((long) (t * 1e6) - (h.now - start));
-            Contract.Request r = h.request(++id, s);
+            RecordingHost h = hosts.get(jobs.nextInt(SCHEDULERS));
+            h.advance((long) (t * 1e6) - (h.now - start));
+            Contract.Request r = h.newRequest(++id, s);
             r.costHintUs = (long) (work * 1e6);
             int before = h.sentTo.size();
             h.policy.requestAccepted(h.now, r);
--- a/core/src/test/java/hookweir/OwnJobsTest.java
+++ b/core/src/test/java/hookweir/OwnJobsTest.java
@@ -13,71 +13,71 @@
 final class OwnJobsTest {
     private static final int SLOTS = 4;
 
-    private static RecordingHost filledByOwnJobs(Contract.Settings s, int jobs) {
+    private static RecordingHost hostWithOwnJobs(Contract.Settings s, int jobs) {
         RecordingHost h = RecordingHost.with(s, 5);
-        h.fleet(worker(1));
-        h.report(1, SLOTS);
+        h.replaceWorkers(worker(1));
+        h.reportFreeSlots(1, SLOTS);
         for (int id = 1; id <= jobs; id++) {
-            h.take(id, s);
+            h.accept(id, s);
         }
         assertEquals(jobs, h.sentTo.size());
         return h;
     }
 
     @Test
-    void longJobsOfItsOwnFillAWorkerUntilTheyEnd() {
+    void ownJobsHoldTheirSlotsUntilTheyEnd() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
-        RecordingHost h = filledByOwnJobs(s, SLOTS);
-        h.pass(4_000_000);
-        h.take(9, s);
+        RecordingHost h = hostWithOwnJobs(s, SLOTS);
+        h.advance(4_000_000);
+        h.accept(9, s);
         assertEquals(SLOTS, h.sentTo.size(), "held: all slots are taken by own jobs, however long ago");
-        h.ends(1, 0, 1, Outcome.OK, true);
-        h.pass(400_000);
+        h.endAttempt(1, 0, 1, Outcome.OK, true);
+        h.advance(400_000);
         assertEquals(SLOTS + 1, h.sentTo.size());
     }
 
     @Test
-    void whatEndedSinceAReportFreesItsSlotAtOnce() {
+    void aJobThatEndsAfterAReportFreesItsSlot() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
-        RecordingHost h = filledByOwnJobs(s, SLOTS);
-        h.pass(500_000);
-        h.report(1, 0); // these four, and nobody else's
-        h.ends(1, 0, 1, Outcome.OK, true);
-        h.ends(2, 0, 1, Outcome.OK, true);
-        h.take(9, s);
+        RecordingHost h = hostWithOwnJobs(s, SLOTS);
+        h.advance(500_000);
+        h.reportFreeSlots(1, 0); // these four, and nobody else's
+        h.endAttempt(1, 0, 1, Outcome.OK, true);
+        h.endAttempt(2, 0, 1, Outcome.OK, true);
+        h.accept(9, s);
         assertEquals(SLOTS + 1, h.sentTo.size());
     }
 
     @Test
-    void jobsOfOthersStandInAReportBesideOwnOnes() {
+    void aReportCountsJobsOfOtherSchedulers() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
-        RecordingHost h = filledByOwnJobs(s, 1);
-        h.pass(500_000);
-        h.report(1, 0); // one own, three of others
-        h.ends(1, 0, 1, Outcome.OK, true);
-        h.take(8, s);
-        h.take(9, s);
+        RecordingHost h = hostWithOwnJobs(s, 1);
+        h.advance(500_000);
+        h.reportFreeSlots(1, 0); // one own, three of others
+        h.endAttempt(1, 0, 1, Outcome.OK, true);
+        h.accept(8, s);
+        h.accept(9, s);
         assertEquals(2, h.sentTo.size(), "one slot came free, and was taken again");
     }
 
     /** Over two workers: one that own jobs nearly fill draws by the room that they leave, with no report of them at all. */
     @Test
-    void theDrawSeesOwnJobsBeforeAnyReportDoes() {
+    void selectionCountsOwnJobsBeforeAReport() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         int crowded = 0;
         int seeds = 400;
         for (int seed = 0; seed < seeds; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
-            h.fleet(worker(1));
-            h.report(1, SLOTS);
+            h.replaceWorkers(worker(1));
+            h.reportFreeSlots(1, SLOTS);
             for (int id = 1; id < SLOTS; id++) {
-                h.take(id, s);
+                h.accept(id, s);
             }
-            h.pass(3_000_000);
-            h.fleet(worker(1), worker(2));
-            h.report(1, 1);
-            h.report(2, SLOTS);
-            h.take(9, s);
+            h.advance(3_000_000);
+            h.replaceWorkers(worker(1), worker(2));
+            h.reportFreeSlots(1, 1);
+            h.reportFreeSlots(2, SLOTS);
+            h.accept(9, s);
             crowded += h.sentTo.get(SLOTS - 1) == 1 ? 1 : 0;
         }
         assertEquals(1.0 / (1 + SLOTS), crowded / (double) seeds, 0.06);
--- a/core/src/test/java/hookweir/PolicyBoundsTest.java
+++ b/core/src/test/java/hookweir/PolicyBoundsTest.java
@@ -21,35 +21,35 @@
      * probing, or each such case stays there for good (and every later check walks past it).
      */
     @Test
-    void aJobWithdrawnWhileLookingLeavesTheLookersWhenAWorkerIsStruck() throws ReflectiveOperationException {
+    void anAbandonedProbingJobIsRemovedWhenAWorkerLeavesTheList() throws ReflectiveOperationException {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.probesAllowed = true;
         RecordingHost h = RecordingHost.with(s, 3);
         int rounds = 200;
         for (int round = 0; round < rounds; round++) {
             int first = 10 * round + 1;
-            h.fleet(worker(first), worker(first + 1), worker(first + 2));
+            h.replaceWorkers(worker(first), worker(first + 1), worker(first + 2));
             for (int w = first; w < first + 3; w++) {
-                h.report(w, 8);
+                h.reportFreeSlots(w, 8);
             }
-            h.pass(1_000_000);
+            h.advance(1_000_000);
             h.probes.clear();
-            h.take(round + 1, s);
+            h.accept(round + 1, s);
             assertTrue(h.probes.size() > 0, "the job looks before it is sent");
             h.policy.requestAbandoned(h.now, round + 1);
             Contract.Worker struck = worker(h.probes.get(0));
             struck.state = Contract.WorkerState.GONE;
-            h.change(struck);
+            h.changeWorkers(struck);
             for (int w : h.probes) {
-                h.policy.probeEnded(h.now, w, Outcome.OK, 500, RecordingHost.free(8));
+                h.policy.probeEnded(h.now, w, Outcome.OK, 500, RecordingHost.reportOf(8));
             }
-            h.pass(1_000_000);
+            h.advance(1_000_000);
         }
-        assertEquals(0, held(h.policy, "probing"), "jobs left looking after their end");
-        assertEquals(0, held(h.policy, "jobs"), "jobs held after their end");
+        assertEquals(0, sizeOfTable(h.policy, "probing"), "jobs left looking after their end");
+        assertEquals(0, sizeOfTable(h.policy, "jobs"), "jobs held after their end");
     }
 
-    private static int held(Policy p, String field) throws ReflectiveOperationException {
+    private static int sizeOfTable(Policy p, String field) throws ReflectiveOperationException {
         java.lang.reflect.Field f = Policy.class.getDeclaredField(field);
         f.setAccessible(true);
         Object table = f.get(p);
--- a/core/src/test/java/hookweir/PolicyRulesTest.java
+++ b/core/src/test/java/hookweir/PolicyRulesTest.java
@@ -25,30 +25,30 @@
         "KEYED, TIMEOUT, again",
         "UNSAFE, FULL, again", "UNSAFE, CONNECT_FAILED, again", "UNSAFE, MOOT, again", "UNSAFE, ERROR, fail",
         "UNSAFE, RESET, fail", "UNSAFE, TIMEOUT, fail", "UNSAFE, CANCELLED, fail"})
-    void afterAnOutcome(Idempotency effect, Outcome outcome, String then) {
+    void followUpOfAnOutcome(Idempotency effect, Outcome outcome, String then) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 11);
-        h.fleet(worker(1), worker(2), worker(3));
-        h.take(1, s);
-        h.ends(1, 0, h.sentTo.get(0), outcome, false);
-        assertEquals(then.equals("again") ? 2 : 1, h.count("send"), h.actions.toString());
-        assertEquals(then.equals("fail") ? 1 : 0, h.count("fail"));
-        assertEquals(0, h.count("refuse"));
+        h.replaceWorkers(worker(1), worker(2), worker(3));
+        h.accept(1, s);
+        h.endAttempt(1, 0, h.sentTo.get(0), outcome, false);
+        assertEquals(then.equals("again") ? 2 : 1, h.countActions("send"), h.actions.toString());
+        assertEquals(then.equals("fail") ? 1 : 0, h.countActions("fail"));
+        assertEquals(0, h.countActions("refuse"));
     }
 
     /** A connection that takes its time brought a repeat beyond its window. */
     @Test
-    void aKeyedRepeatWhoseConnectionMayComeUpBeyondItsWindowIsNotSent() {
+    void aKeyedRetryThatMayArriveAfterItsWindowIsNotSent() {
         Contract.Settings s = settings(Idempotency.KEYED);
         s.connectTimeoutUs = 500_000;
         for (long late = 1_300_000; late <= 1_900_000; late += 100_000) {
             RecordingHost h = RecordingHost.with(s, 11);
-            h.fleet(worker(1), worker(2), worker(3));
-            h.take(1, s);
-            h.pass(late);
-            h.ends(1, 0, h.sentTo.get(0), Outcome.RESET, false);
+            h.replaceWorkers(worker(1), worker(2), worker(3));
+            h.accept(1, s);
+            h.advance(late);
+            h.endAttempt(1, 0, h.sentTo.get(0), Outcome.RESET, false);
             boolean again = late + s.connectTimeoutUs < 15 * s.classes.get(0).dedupWindowUs / 16;
-            assertEquals(again ? 2 : 1, h.count("send"), "after " + late + " us");
+            assertEquals(again ? 2 : 1, h.countActions("send"), "after " + late + " us");
         }
     }
 
@@ -62,90 +62,90 @@
                 fleet[i] = worker(i);
                 fleet[i].cell = i / 2;
             }
-            h.fleet(fleet);
-            h.take(1, s);
-            h.ends(1, 0, h.sentTo.get(0), Outcome.RESET, false);
+            h.replaceWorkers(fleet);
+            h.accept(1, s);
+            h.endAttempt(1, 0, h.sentTo.get(0), Outcome.RESET, false);
             assertEquals(h.sentTo.get(0) / 2, h.sentTo.get(1) / 2);
-            h.pass(1_950_000);
-            h.ends(1, 1, h.sentTo.get(1), Outcome.RESET, false);
-            assertEquals(2, h.count("send"), "the window is over");
-            assertEquals(1, h.count("fail"), "and it may have run, so no refusal");
+            h.advance(1_950_000);
+            h.endAttempt(1, 1, h.sentTo.get(1), Outcome.RESET, false);
+            assertEquals(2, h.countActions("send"), "the window is over");
+            assertEquals(1, h.countActions("fail"), "and it may have run, so no refusal");
         }
     }
 
     @Test
-    void anUnsafeRequestThatProvablyNeverRanIsRefusedWhenAttemptsAreUsedUp() {
+    void aNonIdempotentRequestThatNeverRanIsRejectedAfterItsLastAttempt() {
         Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 2);
-        h.fleet(worker(1), worker(2), worker(3));
-        h.take(1, s);
+        h.replaceWorkers(worker(1), worker(2), worker(3));
+        h.accept(1, s);
         for (int i = 0; i < 4; i++) {
-            h.pass(3_000_000);
-            if (h.count("send") > i) {
-                h.ends(1, i, h.sentTo.get(i), Outcome.FULL, false);
+            h.advance(3_000_000);
+            if (h.countActions("send") > i) {
+                h.endAttempt(1, i, h.sentTo.get(i), Outcome.FULL, false);
             }
         }
-        h.pass(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.count("refuse"));
-        assertEquals(0, h.count("fail"));
+        h.advance(s.classes.get(0).deadlineUs);
+        assertEquals(1, h.countActions("refuse"));
+        assertEquals(0, h.countActions("fail"));
     }
 
     @ParameterizedTest
     @CsvSource({"SAFE, refuse", "KEYED, fail", "UNSAFE, fail"})
-    void aWorkerThatNeverAnswersDoesNotKeepTheClientWaiting(Idempotency effect, String answer) {
+    void aWorkerThatNeverRespondsDoesNotKeepTheClientWaiting(Idempotency effect, String answer) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 4);
-        h.fleet(worker(1));
-        h.take(1, s);
-        h.pass(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.count(answer + " 1"));
-        h.ends(1, 0, 1, Outcome.CANCELLED, true);
-        h.pass(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.count("refuse") + h.count("fail"), "one answer and no more");
-        assertEquals(1, h.count("send"));
+        h.replaceWorkers(worker(1));
+        h.accept(1, s);
+        h.advance(s.classes.get(0).deadlineUs);
+        assertEquals(1, h.countActions(answer + " 1"));
+        h.endAttempt(1, 0, 1, Outcome.CANCELLED, true);
+        h.advance(s.classes.get(0).deadlineUs);
+        assertEquals(1, h.countActions("refuse") + h.countActions("fail"), "one answer and no more");
+        assertEquals(1, h.countActions("send"));
     }
 
     @Test
-    void nothingFollowsAClosedOrWithdrawnRequest() {
+    void nothingFollowsAClosedOrAbandonedRequest() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 4);
-        h.fleet(worker(1), worker(2));
-        h.take(1, s);
-        h.ends(1, 0, h.sentTo.get(0), Outcome.OK, true);
-        h.take(2, s);
+        h.replaceWorkers(worker(1), worker(2));
+        h.accept(1, s);
+        h.endAttempt(1, 0, h.sentTo.get(0), Outcome.OK, true);
+        h.accept(2, s);
         h.policy.requestAbandoned(h.now, 2);
         h.policy.requestAbandoned(h.now, 77);
-        h.ends(2, 0, h.sentTo.get(1), Outcome.RESET, true);
-        h.pass(20_000_000);
-        assertEquals(2, h.count("send"));
-        assertEquals(0, h.count("refuse") + h.count("fail"));
+        h.endAttempt(2, 0, h.sentTo.get(1), Outcome.RESET, true);
+        h.advance(20_000_000);
+        assertEquals(2, h.countActions("send"));
+        assertEquals(0, h.countActions("refuse") + h.countActions("fail"));
     }
 
     @Test
-    void nothingGoesToAWorkerThatDrainsOrIsGone() {
+    void drainingOrGoneWorkersGetNoJobs() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 4);
-        h.fleet(worker(1), worker(2), worker(3));
+        h.replaceWorkers(worker(1), worker(2), worker(3));
         Contract.Worker draining = worker(1);
         draining.state = Contract.WorkerState.DRAINING;
         Contract.Worker gone = worker(2);
         gone.state = Contract.WorkerState.GONE;
-        h.change(draining, gone);
+        h.changeWorkers(draining, gone);
         for (int i = 0; i < 60; i++) {
-            h.take(i, s);
+            h.accept(i, s);
         }
         assertEquals(Set.of(3), new HashSet<>(h.sentTo));
-        h.fleet(worker(9));
+        h.replaceWorkers(worker(9));
         h.sentTo.clear();
         for (int i = 100; i < 120; i++) {
-            h.take(i, s);
+            h.accept(i, s);
         }
-        h.pass(5_000_000);
+        h.advance(5_000_000);
         assertEquals(Set.of(9), new HashSet<>(h.sentTo), "what a whole list lacks is gone");
     }
 
     @Test
-    void aColdWorkerGetsItsSureShareAndRepeatsDoNotAdd() {
+    void aColdWorkerGetsItsShareAndClientRetriesDoNotAdd() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.coldCapacityShare = 0.2;
         int cold = 0;
@@ -154,20 +154,20 @@
         RecordingHost h = RecordingHost.with(s, 8);
         Contract.Worker fresh = worker(0);
         fresh.startedAtUs = h.now;
-        h.fleet(fresh, worker(1), worker(2), worker(3), worker(4));
+        h.replaceWorkers(fresh, worker(1), worker(2), worker(3), worker(4));
         for (int w = 1; w <= 4; w++) {
-            h.report(w, 8);
-            h.report(w, 0);
+            h.reportFreeSlots(w, 8);
+            h.reportFreeSlots(w, 0);
         }
         for (int i = 0; i < n; i++) {
-            h.report(0, 8);
+            h.reportFreeSlots(0, 8);
             int before = h.sentTo.size();
-            h.take(i, s);
+            h.accept(i, s);
             if (h.sentTo.size() > before && h.sentTo.get(before) == 0) {
                 cold++;
-                h.ends(i, 0, 0, Outcome.OK, true);
+                h.endAttempt(i, 0, 0, Outcome.OK, true);
             }
-            Contract.Request again = h.request(n + i, s);
+            Contract.Request again = h.newRequest(n + i, s);
             again.clientRetry = true;
             before = h.sentTo.size();
             h.policy.requestAccepted(h.now, again);
@@ -180,204 +180,204 @@
     }
 
     @Test
-    void aBlockedCallGoesElsewhereAndAFailedWorkerIsSetAside() {
+    void aFailedWorkerIsEjectedAndReadmitted() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1), worker(2), worker(3));
-        h.take(1, s);
+        h.replaceWorkers(worker(1), worker(2), worker(3));
+        h.accept(1, s);
         int first = h.sentTo.get(0);
-        h.ends(1, 0, first, Outcome.CONNECT_FAILED, false);
+        h.endAttempt(1, 0, first, Outcome.CONNECT_FAILED, false);
         assertFalse(h.sentTo.get(1) == first);
         assertEquals(1, h.policy.excludedWorkerCount(h.now));
         h.sentTo.clear();
         for (int i = 2; i < 40; i++) {
-            h.take(i, s);
+            h.accept(i, s);
         }
         assertFalse(h.sentTo.contains(first), "set aside for now");
-        h.pass(400_000_000);
+        h.advance(400_000_000);
         h.sentTo.clear();
         for (int i = 100; i < 160; i++) {
-            h.take(i, s);
+            h.accept(i, s);
         }
         assertTrue(h.sentTo.contains(first), "and taken back");
         assertEquals(0, h.policy.excludedWorkerCount(h.now));
         Contract.Worker leaver = worker(2);
         leaver.state = Contract.WorkerState.DRAINING;
-        h.change(leaver);
+        h.changeWorkers(leaver);
         assertEquals(1, h.policy.excludedWorkerCount(h.now));
     }
 
     /** New settings: fewer attempts hold at once, more only for new jobs, and no check goes out where probes are barred. */
     @Test
-    void newSettingsHoldAndOldJobsKeepTheirClass() {
+    void newSettingsApplyAndOpenRequestsKeepTheirClass() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.probesAllowed = true;
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1), worker(2), worker(3));
-        h.report(1, 8);
-        h.report(2, 8);
-        h.report(3, 8);
-        h.take(1, s);
-        h.pass(100_000);
-        assertEquals(1, h.count("send 1 "));
+        h.replaceWorkers(worker(1), worker(2), worker(3));
+        h.reportFreeSlots(1, 8);
+        h.reportFreeSlots(2, 8);
+        h.reportFreeSlots(3, 8);
+        h.accept(1, s);
+        h.advance(100_000);
+        assertEquals(1, h.countActions("send 1 "));
         Contract.Settings strict = settings(Idempotency.IDEMPOTENT);
         strict.classes.add(settings(Idempotency.NON_IDEMPOTENT).classes.get(0));
         strict.maxAttempts = 2;
         h.policy.settingsChanged(h.now, strict);
         h.probes.clear();
-        h.ends(1, 0, h.sentTo.get(0), Outcome.ERROR, false);
-        h.pass(100_000);
-        assertEquals(2, h.count("send 1 "));
-        h.ends(1, 1, h.sentTo.get(1), Outcome.ERROR, false);
-        h.pass(20_000_000);
-        assertEquals(2, h.count("send 1 "));
-        assertEquals(1, h.count("refuse 1"));
+        h.endAttempt(1, 0, h.sentTo.get(0), Outcome.ERROR, false);
+        h.advance(100_000);
+        assertEquals(2, h.countActions("send 1 "));
+        h.endAttempt(1, 1, h.sentTo.get(1), Outcome.ERROR, false);
+        h.advance(20_000_000);
+        assertEquals(2, h.countActions("send 1 "));
+        assertEquals(1, h.countActions("refuse 1"));
         assertTrue(h.probes.isEmpty());
-        Contract.Request r = h.request(2, strict);
+        Contract.Request r = h.newRequest(2, strict);
         r.requestClass = 1;
         h.policy.requestAccepted(h.now, r);
-        h.ends(2, 0, h.sentTo.get(2), Outcome.ERROR, false);
-        assertEquals(1, h.count("fail 2"));
+        h.endAttempt(2, 0, h.sentTo.get(2), Outcome.ERROR, false);
+        assertEquals(1, h.countActions("fail 2"));
     }
 
     @Test
-    void lateWorkThatEarnsNothingIsRefusedNotSent() {
+    void lateWorkOfNoValueIsRejected() {
         Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
         s.classes.get(0).lateValueShare = 0;
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1));
-        h.report(1, 8);
-        Contract.Request r = h.request(1, s);
+        h.replaceWorkers(worker(1));
+        h.reportFreeSlots(1, 8);
+        Contract.Request r = h.newRequest(1, s);
         r.deadlineAtUs = h.now + 3_000_000;
         r.clientRetry = true;
         h.policy.requestAccepted(h.now, r);
-        assertEquals(1, h.count("refuse 1"));
-        assertEquals(0, h.count("send"));
+        assertEquals(1, h.countActions("refuse 1"));
+        assertEquals(0, h.countActions("send"));
     }
 
     /** A client that names less time than its class has was taken for one that had waited, and refused on an idle fleet. */
     @Test
-    void aClientInAHurryIsServedWhereThereIsRoom() {
+    void aShortDeadlineIsServedWhileSlotsAreFree() {
         Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
         s.classes.get(0).lateValueShare = 0;
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1));
-        h.report(1, 64);
+        h.replaceWorkers(worker(1));
+        h.reportFreeSlots(1, 64);
         for (int tenths = 2; tenths <= 20; tenths += 2) {
-            Contract.Request r = h.request(tenths, s);
+            Contract.Request r = h.newRequest(tenths, s);
             r.deadlineAtUs = h.now + s.classes.get(0).deadlineUs * tenths / 10;
             h.policy.requestAccepted(h.now, r);
-            assertEquals(1, h.count("send " + tenths + " "), "deadline of " + tenths + " tenths");
-            h.ends(tenths, 0, 1, Outcome.OK, true);
+            assertEquals(1, h.countActions("send " + tenths + " "), "deadline of " + tenths + " tenths");
+            h.endAttempt(tenths, 0, 1, Outcome.OK, true);
         }
-        h.report(1, 0);
-        Contract.Request late = h.request(99, s);
+        h.reportFreeSlots(1, 0);
+        Contract.Request late = h.newRequest(99, s);
         late.deadlineAtUs = h.now + s.classes.get(0).softDeadlineUs / 2;
         h.policy.requestAccepted(h.now, late);
-        assertEquals(1, h.count("refuse 99"));
+        assertEquals(1, h.countActions("refuse 99"));
     }
 
     @Test
-    void withoutAHintAHeldJobMustStartWithinThePlainAim() {
+    void aWaitingJobWithoutHintMustStartWithinTheSoftDeadline() {
         Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
         s.classes.get(0).lateValueShare = 0;
         s.classes.get(0).softDeadlineStretch = 2;
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1));
-        h.report(1, 8);
+        h.replaceWorkers(worker(1));
+        h.reportFreeSlots(1, 8);
         for (int i = 0; i < 20; i++) {
-            h.report(1, 0);
-            h.pass(40_000);
+            h.reportFreeSlots(1, 0);
+            h.advance(40_000);
         }
-        h.report(1, 0);
-        h.take(1, s);
+        h.reportFreeSlots(1, 0);
+        h.accept(1, s);
         for (int i = 0; i < 30; i++) {
-            h.report(1, 0);
-            h.pass(40_000);
+            h.reportFreeSlots(1, 0);
+            h.advance(40_000);
         }
-        assertEquals(1, h.count("refuse 1"), "it may be the smallest of jobs");
+        assertEquals(1, h.countActions("refuse 1"), "it may be the smallest of jobs");
     }
 
     @Test
-    void theListIsWatchedAndAskedAgainWithPauses() {
+    void failedListCallsAreRepeatedWithPauses() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.pollList = true;
         s.maxPollIntervalUs = 10_000_000;
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1));
-        h.pass(2_600_000);
-        assertEquals(1, h.count("watch true"));
+        h.replaceWorkers(worker(1));
+        h.advance(2_600_000);
+        assertEquals(1, h.countActions("watch true"));
         for (int i = 0; i < 5; i++) {
             h.policy.workerListFailed(h.now);
-            int before = h.count("watch true");
-            h.pass(100_000);
-            assertEquals(before, h.count("watch true"), "not at once");
-            h.pass(10_000_000);
-            assertEquals(before + 1, h.count("watch true"));
+            int before = h.countActions("watch true");
+            h.advance(100_000);
+            assertEquals(before, h.countActions("watch true"), "not at once");
+            h.advance(10_000_000);
+            assertEquals(before + 1, h.countActions("watch true"));
         }
     }
 
     @Test
-    void impossibleWorldsStillAnswer() {
+    void requestsEndEvenWithoutUsableWorkers() {
         for (Idempotency effect : Idempotency.values()) {
             Contract.Settings s = settings(effect);
             RecordingHost h = RecordingHost.with(s, 8);
-            h.fleet();
-            h.take(1, s);
-            Contract.Request past = h.request(2, s);
+            h.replaceWorkers();
+            h.accept(1, s);
+            Contract.Request past = h.newRequest(2, s);
             past.deadlineAtUs = h.now - 5;
             h.policy.requestAccepted(h.now, past);
-            h.pass(s.classes.get(0).deadlineUs);
-            assertEquals(2, h.count("refuse") + h.count("fail"), effect + " " + h.actions);
+            h.advance(s.classes.get(0).deadlineUs);
+            assertEquals(2, h.countActions("refuse") + h.countActions("fail"), effect + " " + h.actions);
             Contract.Worker draining = worker(1);
             draining.state = Contract.WorkerState.DRAINING;
-            h.fleet(draining);
-            h.take(3, s);
-            h.pass(s.classes.get(0).deadlineUs);
-            assertEquals(0, h.count("send"));
-            assertEquals(3, h.count("refuse") + h.count("fail"));
+            h.replaceWorkers(draining);
+            h.accept(3, s);
+            h.advance(s.classes.get(0).deadlineUs);
+            assertEquals(0, h.countActions("send"));
+            assertEquals(3, h.countActions("refuse") + h.countActions("fail"));
         }
     }
 
     @Test
-    void bareSettingsServe() {
+    void defaultSettingsWork() {
         Contract.Settings s = new Contract.Settings();
         s.classes.add(new Contract.RequestClass());
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1));
-        h.take(1, s);
-        assertEquals(1, h.count("send"));
+        h.replaceWorkers(worker(1));
+        h.accept(1, s);
+        assertEquals(1, h.countActions("send"));
     }
 
     @Test
-    void aBegunStreamIsLeftAlone() {
+    void aStartedStreamIsNotInterrupted() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 8);
-        h.fleet(worker(1), worker(2));
-        h.take(1, s);
+        h.replaceWorkers(worker(1), worker(2));
+        h.accept(1, s);
         h.policy.streamStarted(h.now, 1, 0);
-        h.pass(s.classes.get(0).deadlineUs * 2);
+        h.advance(s.classes.get(0).deadlineUs * 2);
         assertEquals(1, h.actions.size());
     }
 
     /** At a planned end a job too long to finish is refused at once, if that is harmless, and a new one too. */
     @ParameterizedTest
     @CsvSource({"SAFE, 9000000, 1, 1", "SAFE, 4000000, 0, 1", "SAFE, 100000, 0, 1", "UNSAFE, 9000000, 0, 0"})
-    void whoLeavesLetsLongJobsGo(Idempotency effect, long hintUs, int atOnce, int inTheEnd) {
+    void shutdownRejectsJobsThatCannotFinish(Idempotency effect, long hintUs, int atOnce, int inTheEnd) {
         Contract.Settings s = settings(effect);
         RecordingHost h = RecordingHost.with(s, 4);
-        h.fleet(worker(1));
-        Contract.Request r = h.request(1, s);
+        h.replaceWorkers(worker(1));
+        Contract.Request r = h.newRequest(1, s);
         r.costHintUs = hintUs;
         h.policy.requestAccepted(h.now, r);
         h.policy.shutdownStarted(h.now, h.now + 3_000_000);
-        assertEquals(atOnce, h.count("refuse 1"));
-        Contract.Request late = h.request(2, s);
+        assertEquals(atOnce, h.countActions("refuse 1"));
+        Contract.Request late = h.newRequest(2, s);
         late.costHintUs = 9_000_000;
         h.policy.requestAccepted(h.now, late);
-        assertEquals(1, h.count("refuse 2"));
-        h.pass(3_000_000);
-        assertEquals(inTheEnd, h.count("refuse 1"));
-        assertEquals(1, h.count("send"));
+        assertEquals(1, h.countActions("refuse 2"));
+        h.advance(3_000_000);
+        assertEquals(inTheEnd, h.countActions("refuse 1"));
+        assertEquals(1, h.countActions("send"));
     }
 }
--- a/core/src/test/java/hookweir/CrowdedListService.java
+++ b/core/src/test/java/hookweir/QueueingListService.java
@@ -10,33 +10,33 @@
  * A list service in simulated time that works through the calls of all schedulers in turn. A call that waited too long is refused,
  * but still takes its turn. While it is down no call is worked on, and each is refused after the same wait.
  */
-final class CrowdedListService {
+final class QueueingListService {
     private static final long STEP_US = 5_000;
-    private static final long LONGEST_WAIT_US = 2_000_000;
+    private static final long CALL_TIMEOUT_US = 2_000_000;
     private static final long US_PER_S = 1_000_000;
 
     private record Call(int caller, long atUs) {
     }
 
     private final List<RecordingHost> callers;
-    private final long workUs;
+    private final long processingUs;
     private final int[] callsSeen;
     private final boolean[] watching;
     private final Deque<Call> queue = new ArrayDeque<>();
-    private final List<Call> waiting = new ArrayList<>();
+    private final List<Call> unanswered = new ArrayList<>();
     private long nowUs;
     private long freeAtUs;
     private boolean down;
 
-    CrowdedListService(List<RecordingHost> callers, int callsPerS) {
+    QueueingListService(List<RecordingHost> callers, int callsPerS) {
         this.callers = callers;
-        workUs = US_PER_S / callsPerS;
+        processingUs = US_PER_S / callsPerS;
         callsSeen = new int[callers.size()];
         watching = new boolean[callers.size()];
     }
 
     /** How many have an open watch. */
-    int served() {
+    int openWatches() {
         int served = 0;
         for (boolean one : watching) {
             served += one ? 1 : 0;
@@ -55,45 +55,45 @@
         }
     }
 
-    void play(long us) {
+    void run(long us) {
         for (long end = nowUs + us; nowUs < end; nowUs += STEP_US) {
             for (int i = 0; i < callers.size(); i++) {
-                callers.get(i).pass(STEP_US);
+                callers.get(i).advance(STEP_US);
                 accept(i);
             }
-            refuseThoseThatWaited();
-            work();
+            timeOutCalls();
+            processQueue();
         }
     }
 
     private void accept(int i) {
-        for (int calls = callers.get(i).count("watch true"); callsSeen[i] < calls; callsSeen[i]++) {
+        for (int calls = callers.get(i).countActions("watch true"); callsSeen[i] < calls; callsSeen[i]++) {
             Call call = new Call(i, nowUs);
-            waiting.add(call);
+            unanswered.add(call);
             if (!down) {
                 queue.add(call);
             }
         }
     }
 
-    private void refuseThoseThatWaited() {
-        for (Call call : List.copyOf(waiting)) {
-            if (nowUs - call.atUs >= LONGEST_WAIT_US) {
-                waiting.remove(call);
+    private void timeOutCalls() {
+        for (Call call : List.copyOf(unanswered)) {
+            if (nowUs - call.atUs >= CALL_TIMEOUT_US) {
+                unanswered.remove(call);
                 RecordingHost caller = callers.get(call.caller);
                 caller.policy.workerListFailed(caller.now, ListCallFailure.UNANSWERED);
             }
         }
     }
 
-    private void work() {
+    private void processQueue() {
         freeAtUs = queue.isEmpty() || down ? Math.max(freeAtUs, nowUs) : freeAtUs;
-        while (!down && !queue.isEmpty() && freeAtUs + workUs <= nowUs) {
-            freeAtUs += workUs;
+        while (!down && !queue.isEmpty() && freeAtUs + processingUs <= nowUs) {
+            freeAtUs += processingUs;
             Call call = queue.poll();
-            if (waiting.remove(call)) {
+            if (unanswered.remove(call)) {
                 watching[call.caller] = true;
-                callers.get(call.caller).fleet();
+                callers.get(call.caller).replaceWorkers();
             }
         }
     }
--- a/core/src/test/java/hookweir/RecordingHost.java
+++ b/core/src/test/java/hookweir/RecordingHost.java
@@ -20,7 +20,7 @@
     }
 
     /** Lets time pass, timers included. */
-    void pass(long us) {
+    void advance(long us) {
         long until = now + us;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
             now = Math.max(now, timers.firstKey());
@@ -31,39 +31,39 @@
         now = until;
     }
 
-    void fleet(Contract.Worker... workers) {
+    void replaceWorkers(Contract.Worker... workers) {
         policy.workerListReceived(now, false, List.of(workers));
     }
 
-    void change(Contract.Worker... workers) {
+    void changeWorkers(Contract.Worker... workers) {
         policy.workerListReceived(now, true, List.of(workers));
     }
 
     /** Takes a request of class 0 that the client waits a whole deadline for. */
-    Contract.Request request(int id, Contract.Settings settings) {
+    Contract.Request newRequest(int id, Contract.Settings settings) {
         Contract.Request r = new Contract.Request();
         r.id = id;
         r.deadlineAtUs = now + settings.classes.get(0).deadlineUs;
         return r;
     }
 
-    void take(int id, Contract.Settings settings) {
-        policy.requestAccepted(now, request(id, settings));
+    void accept(int id, Contract.Settings settings) {
+        policy.requestAccepted(now, newRequest(id, settings));
     }
 
-    void report(int worker, double free) {
-        policy.probeEnded(now, worker, Contract.Outcome.OK, 500, free(free));
+    void reportFreeSlots(int worker, double free) {
+        policy.probeEnded(now, worker, Contract.Outcome.OK, 500, reportOf(free));
     }
 
-    void ends(int id, int attempt, int worker, Contract.Outcome outcome, boolean closed) {
+    void endAttempt(int id, int attempt, int worker, Contract.Outcome outcome, boolean closed) {
         policy.attemptEnded(now, id, attempt, worker, outcome, 1000, closed, null);
     }
 
-    int count(String start) {
+    int countActions(String start) {
         return (int) actions.stream().filter(a -> a.startsWith(start)).count();
     }
 
-    static Contract.Report free(double slots) {
+    static Contract.Report reportOf(double slots) {
         Contract.Report r = new Contract.Report();
         r.clear();
         r.freeSlots = slots;
@@ -96,7 +96,7 @@
     }
 
     /** As {@link #settings}, with figures by probes alone, at a price that allows one look at a time. */
-    static Contract.Settings probing(Contract.Idempotency effect) {
+    static Contract.Settings probingSettings(Contract.Idempotency effect) {
         Contract.Settings s = settings(effect);
         s.probesAllowed = true;
         s.loadReportSource = Contract.LoadReportSource.PROBES;
--- a/core/src/test/java/hookweir/OldFiguresTest.java
+++ b/core/src/test/java/hookweir/StaleReportsTest.java
@@ -1,6 +1,6 @@
 package hookweir;
 
-import static hookweir.RecordingHost.probing;
+import static hookweir.RecordingHost.probingSettings;
 import static hookweir.RecordingHost.workers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,59 +12,59 @@
  * One of many dispatchers sees few requests, so its figures are old: what a worker said a while ago must not decide
  * where a job goes while there is time to ask again.
  */
-final class OldFiguresTest {
+final class StaleReportsTest {
     private static final int WORKERS = 12;
     private static final int SEEDS = 200;
 
     /** All workers had room when last heard; since then all but the roomy ones have filled up. The job's probes so far. */
-    private static int[] looksAndTarget(int roomy, int seed) {
-        Contract.Settings s = probing(Idempotency.IDEMPOTENT);
+    private static int[] probesAndTarget(int roomy, int seed) {
+        Contract.Settings s = probingSettings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, seed);
-        h.fleet(workers(WORKERS));
+        h.replaceWorkers(workers(WORKERS));
         for (int w = 0; w < WORKERS; w++) {
-            h.report(w, 4);
+            h.reportFreeSlots(w, 4);
         }
-        h.pass(200_000);
+        h.advance(200_000);
         h.probes.clear();
-        h.take(1, s);
+        h.accept(1, s);
         for (int i = 0; i < h.probes.size(); i++) {
-            h.report(h.probes.get(i), h.probes.get(i) < roomy ? 4 : 0);
+            h.reportFreeSlots(h.probes.get(i), h.probes.get(i) < roomy ? 4 : 0);
         }
         return new int[] {h.probes.size(), h.sentTo.isEmpty() ? -1 : h.sentTo.get(0)};
     }
 
     @Test
-    void whereAWorkerLookedAtIsFullFurtherOnesAreLookedAt() {
+    void probesFurtherWorkersIfTheFirstIsFull() {
         int roomy = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            roomy += looksAndTarget(WORKERS / 3, seed)[1] < WORKERS / 3 ? 1 : 0;
+            roomy += probesAndTarget(WORKERS / 3, seed)[1] < WORKERS / 3 ? 1 : 0;
         }
         // One look in three finds room; sent on an old figure after the first, 0.33 + 0.67 * 0.36 = 0.57 of the jobs do.
         assertTrue(roomy > 0.75 * SEEDS, "sent to a worker with room: " + roomy + " of " + SEEDS);
     }
 
     @Test
-    void aFullFleetIsLookedAtOnlySoOften() {
+    void limitsProbesOfAFullFleet() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            assertEquals(5, looksAndTarget(0, seed)[0], "the first look and four further ones, seed " + seed);
+            assertEquals(5, probesAndTarget(0, seed)[0], "the first look and four further ones, seed " + seed);
         }
     }
 
     /** Shares of jobs, over seeds, that go to worker 0 of two that both had room when last heard; it is looked at. */
-    private static int sentToFirst(Contract.Outcome check, double errorsFirst, double errorsSecond) {
+    private static int jobsSentToFirst(Contract.Outcome check, double errorsFirst, double errorsSecond) {
         int first = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            Contract.Settings s = probing(Idempotency.IDEMPOTENT);
+            Contract.Settings s = probingSettings(Idempotency.IDEMPOTENT);
             RecordingHost h = RecordingHost.with(s, seed);
-            h.fleet(workers(2));
-            answer(h, 0, Contract.Outcome.OK, errorsFirst);
-            answer(h, 1, Contract.Outcome.OK, errorsSecond);
-            h.pass(200_000);
+            h.replaceWorkers(workers(2));
+            endProbe(h, 0, Contract.Outcome.OK, errorsFirst);
+            endProbe(h, 1, Contract.Outcome.OK, errorsSecond);
+            h.advance(200_000);
             h.probes.clear();
-            h.take(1, s);
+            h.accept(1, s);
             for (int i = 0; i < h.probes.size(); i++) {
                 boolean toFirst = h.probes.get(i) == 0;
-                answer(h, h.probes.get(i), toFirst ? check : Contract.Outcome.OK, toFirst ? errorsFirst : errorsSecond);
+                endProbe(h, h.probes.get(i), toFirst ? check : Contract.Outcome.OK, toFirst ? errorsFirst : errorsSecond);
             }
             first += !h.sentTo.isEmpty() && h.sentTo.get(0) == 0 ? 1 : 0;
         }
@@ -72,19 +72,19 @@
     }
 
     @Test
-    void aWorkerWhoseCheckEndsInAnErrorGetsNoJob() {
-        assertEquals(0, sentToFirst(Contract.Outcome.ERROR, 0, 0));
+    void sendsNothingToAWorkerWhoseProbeFails() {
+        assertEquals(0, jobsSentToFirst(Contract.Outcome.ERROR, 0, 0));
     }
 
     @Test
-    void aWorkerThatTellsOfErrorsIsLeftOutUnlessTheOthersTellOfAsMany() {
-        assertEquals(0, sentToFirst(Contract.Outcome.OK, 2, 0));
-        assertEquals(0.5, sentToFirst(Contract.Outcome.OK, 2, 2) / (double) SEEDS, 0.12);
-        assertEquals(0.5, sentToFirst(Contract.Outcome.OK, 0.002, 0) / (double) SEEDS, 0.12, "a stray error is none");
+    void avoidsAWorkerThatReportsMoreErrorsThanOthers() {
+        assertEquals(0, jobsSentToFirst(Contract.Outcome.OK, 2, 0));
+        assertEquals(0.5, jobsSentToFirst(Contract.Outcome.OK, 2, 2) / (double) SEEDS, 0.12);
+        assertEquals(0.5, jobsSentToFirst(Contract.Outcome.OK, 0.002, 0) / (double) SEEDS, 0.12, "a stray error is none");
     }
 
-    private static void answer(RecordingHost h, int worker, Contract.Outcome check, double errors) {
-        Contract.Report r = RecordingHost.free(4);
+    private static void endProbe(RecordingHost h, int worker, Contract.Outcome check, double errors) {
+        Contract.Report r = RecordingHost.reportOf(4);
         r.errorsPerS = errors;
         h.policy.probeEnded(h.now, worker, check, 500, check == Contract.Outcome.OK ? r : null);
     }
--- a/core/src/test/java/hookweir/TimersInStepTest.java
+++ b/core/src/test/java/hookweir/TimerSpreadTest.java
@@ -14,27 +14,27 @@
  * Many dispatchers started in the same instant, with the same list and the same figures: their checks of workers
  * and their calls for the list must not land together, or each worker and discovery would meet them as waves.
  */
-final class TimersInStepTest {
-    private static final int DISPATCHERS = 100;
+final class TimerSpreadTest {
+    private static final int SCHEDULERS = 100;
     private static final int WORKERS = 20;
     private static final long STEP_US = 10_000;
     private static final int STEPS = 2_000;
 
     @Test
-    void checksAndCallsForTheListAreSpreadOverTime() {
+    void probesAndListCallsAreSpreadOverTime() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.probesAllowed = true;
         s.pollList = true;
         s.maxPollIntervalUs = 4_000_000;
-        s.schedulerCount = DISPATCHERS;
+        s.schedulerCount = SCHEDULERS;
         List<RecordingHost> hosts = new ArrayList<>();
         Contract.Worker[] fleet = new Contract.Worker[WORKERS];
         for (int w = 0; w < WORKERS; w++) {
             fleet[w] = worker(w + 1);
         }
-        for (int d = 0; d < DISPATCHERS; d++) {
+        for (int d = 0; d < SCHEDULERS; d++) {
             RecordingHost h = RecordingHost.with(s, 1000 + d);
-            h.fleet(fleet);
+            h.replaceWorkers(fleet);
             hosts.add(h);
         }
         Random arrivals = new Random(7);
@@ -44,16 +44,16 @@
         for (int step = 0; step < STEPS; step++) {
             for (RecordingHost h : hosts) {
                 int probesBefore = h.probes.size();
-                int callsBefore = h.count("watch");
-                h.pass(STEP_US);
+                int callsBefore = h.countActions("watch");
+                h.advance(STEP_US);
                 if (arrivals.nextInt(100) < 5) {
-                    h.take(++id, s); // a request now and then, at each dispatcher's own moments
+                    h.accept(++id, s); // a request now and then, at each dispatcher's own moments
                 }
                 for (int w : h.probes.subList(probesBefore, h.probes.size())) {
-                    h.report(w, 4);
+                    h.reportFreeSlots(w, 4);
                 }
                 checks[step] += h.probes.size() - probesBefore;
-                calls[step] += h.count("watch") - callsBefore;
+                calls[step] += h.countActions("watch") - callsBefore;
             }
         }
         assertSpread("checks", checks, 0.25);
@@ -61,7 +61,7 @@
     }
 
     /** No window of 50 ms holds more than so large a share of all that came in the busiest second. */
-    private static void assertSpread(String what, int[] perStep, double mostShare) {
+    private static void assertSpread(String what, int[] perStep, double maxShare) {
         int window = 5;
         int perSecond = (int) (1_000_000 / STEP_US);
         int total = 0;
@@ -82,7 +82,7 @@
                 }
                 peak = Math.max(peak, sum);
             }
-            assertTrue(second < 10 || peak <= mostShare * second,
+            assertTrue(second < 10 || peak <= maxShare * second,
                 what + " in step: " + peak + " of " + second + " within 50 ms, second " + start / perSecond);
         }
     }
