--- a/core/src/main/java/hookweir/Contract.java
+++ b/core/src/main/java/hookweir/Contract.java
@@ -5,74 +5,72 @@
 import java.util.List;
 
 /**
- * The interface between one dispatcher's decisions ({@link Policy}) and the host it lives in.
+ * The interface between a dispatcher, which makes the scheduling decisions ({@link Policy}), and its host, which does the I/O.
  *
- * <p><b>Units.</b> All times are microseconds of one monotonic clock that the host owns; it may start
- * anywhere. Each event carries the present time, which never goes backwards. Slots, memory and free room are
- * in the workers' own units. A number that is not known is {@code NaN}.
+ * <p><b>Units.</b> All times are in microseconds of one monotonic clock of the host, with an arbitrary origin. Each event carries the
+ * current time, which never decreases. Slots and memory are in the workers' own units. An unknown number is {@code NaN}.
  *
- * <p><b>Threading.</b> A dispatcher is single-threaded: the host delivers one event at a time and the
- * dispatcher acts on its {@link Host} only during that call. It keeps no thread, clock or I/O of its own.
+ * <p><b>Threading.</b> A dispatcher is single-threaded: the host delivers one event at a time, and the dispatcher calls its
+ * {@link Host} only during that event. It has no threads, clock or I/O of its own.
  *
- * <p><b>Order.</b> {@link Dispatcher#workerListReceived} comes before anything else. Then events come in the order in
- * which they happened. Attempts of a request are numbered 0, 1, 2 ... in the order of {@link Host#send}.
- * For each attempt there is exactly one {@link Dispatcher#attemptEnded}.
+ * <p><b>Order.</b> {@link Dispatcher#workerListReceived} is the first event. All others are delivered in the order in which they
+ * happened. Attempts of a request are numbered 0, 1, 2 ... in the order of {@link Host#send}, and for each attempt there is exactly one
+ * {@link Dispatcher#attemptEnded}.
  *
- * <p><b>Ownership.</b> {@link Settings}, requests and workers must not change once handed over (new settings
- * come as an object of their own, where a class that changed has a new number): the
- * dispatcher keeps them. The list of workers, a report and a message body belong to the host again on return.
- * Bodies given to {@link Host#sendToPeer} are the host's.
+ * <p><b>Ownership.</b> The dispatcher keeps {@link Settings}, requests and workers, so they must not change once passed to it. New
+ * settings are a new object, in which a changed request class has a new number. A list of workers, a report and a message body belong
+ * to the host again when the call returns. Bodies passed to {@link Host#sendToPeer} belong to the host.
  */
 public final class Contract {
     private Contract() {
     }
 
-    /** What a repeat of a request does. */
+    /** Whether a request may be executed more than once. */
     public enum Idempotency {
         /** May run any number of times. */
         IDEMPOTENT,
-        /** Carries a key; the workers of one group drop a repeat for a while. */
+        /** Carries an idempotency key; the workers of one group drop repeats within the deduplication window. */
         KEYED,
         /** Must never run twice. */
         NON_IDEMPOTENT
     }
 
-    /** Which workers drop repeats of a keyed request. */
+    /** The group of workers that drops repeats of a keyed request: all, those of one zone, or those of one cell. */
     public enum DedupScope { ALL, ZONE, CELL }
 
     /** How load reports arrive. */
     public enum LoadReportSource { RESPONSES_AND_PROBES, PROBES, NONE }
 
-    /** What the list's size figure of a worker holds. */
+    /** The meaning of a worker's size in the worker list. */
     public enum SizeMetric {
-        /** Nothing of use. */
+        /** The size means nothing. */
         NONE,
-        /** A size, exact or roughly so. */
+        /** The exact or approximate size. */
         NOMINAL,
-        /** Size / (1 + requests held for each core), some time ago. */
+        /** Size / (1 + outstanding requests per core), as of some time ago. */
         LIVE
     }
 
-    /** State of a worker in the list. */
+    /** State of a worker in the worker list. */
     public enum WorkerState { DRAINING, READY, GONE }
 
     /** How an attempt or a probe ended. */
     public enum Outcome {
-        /** Served. */
+        /** The worker returned a result. */
         OK(false),
-        /** The worker answered with an error; it may have run. */
+        /** The worker returned an error; the attempt may have run. */
         ERROR(false),
-        /** Turned away unseen. */
+        /** The worker rejected the attempt without running it. */
         FULL(true),
-        /** No answer in time; may have run, may run still. */
+        /** No response in time; the attempt may have run or may still be running. */
         TIMEOUT(false),
-        /** No connection was made. */
+        /** The connection could not be established. */
         CONNECT_FAILED(true),
-        /** The connection dropped; may have run. */
+        /** The connection was lost; the attempt may have run. */
         RESET(false),
-        /** Called off; may have run. */
+        /** The attempt was cancelled; it may have run. */
         CANCELLED(false),
-        /** Never sent: the request was over, out of time or out of attempts, or no attempt may begin. */
+        /** Never sent: the request had ended, had no time or attempts left, or the list lease had expired. */
         MOOT(true);
 
         /** True if this outcome proves that the attempt never ran. */
@@ -83,121 +81,121 @@
         }
     }
 
-    /** Why a dispatcher gives a request up. */
+    /** Why a dispatcher ends a request without a result. */
     public enum EndReason {
-        /** No attempt is left to it, or none is allowed any more. */
+        /** No attempts are left, or another one would not be safe. */
         NO_ATTEMPT_LEFT,
-        /** It can't earn anything any more. */
+        /** It can't be completed in time to earn any value. */
         TOO_LATE,
-        /** The same, and no attempt may begin as the list of workers may be out of date. */
+        /** As {@link #TOO_LATE}, where no attempt could start because the worker list may be out of date. */
         NO_LIST,
-        /** Its client's time is nearly over. */
+        /** The client's deadline is about to pass. */
         OUT_OF_TIME,
-        /** The process leaves, and it can't end before that. */
+        /** The process is shutting down, and the request can't complete before that. */
         LEAVING,
-        /** The attempt that it was bound to is over. */
+        /** The attempt that streamed its response has ended. */
         STREAM_OVER
     }
 
-    /** A class of requests. Fields have the defaults of a plain, safe class. */
+    /** A class of requests. The defaults describe a plain class of idempotent requests. */
     public static final class RequestClass {
-        /** Full worth is earned by an answer within this time plus {@link #softDeadlineStretch} times the own work. */
+        /** A response within this time, plus {@link #softDeadlineStretch} times the request's own run time, earns the full value. */
         public long softDeadlineUs = 500_000;
-        /** The aim grows by this many times the request's own running time. */
+        /** Multiple of the request's own run time that is added to the soft deadline. */
         public double softDeadlineStretch;
-        /** The client's total wait across its tries. */
+        /** The total time that a client waits, over all its tries. */
         public long deadlineUs = 1_000_000;
-        /** Worth of one request (or of one unit of work). */
+        /** Value of one request, or of one unit of work. */
         public double value = 1;
-        /** Share of the worth that an answer between aim and deadline earns. */
+        /** Share of the value that a response between soft deadline and deadline earns. */
         public double lateValueShare;
-        /** What a repeat does. */
+        /** Whether a request may be executed more than once. */
         public Idempotency idempotency = Idempotency.IDEMPOTENT;
-        /** The group that drops repeats, for a keyed class. */
+        /** For a keyed class, the group of workers that drops repeats. */
         public DedupScope dedupScope = DedupScope.ALL;
-        /** How long the group remembers, counted from the first attempt that may have run. */
+        /** How long the group remembers a key, counted from the first attempt that may have run. */
         public long dedupWindowUs;
-        /** The machine kind that the class needs, or -1. */
+        /** The kind of worker that the class needs; -1 for any. */
         public int requiredKind = -1;
-        /** Priority in the workers' queues, where these serve by priority. */
+        /** Priority in the workers' queues, where these are ordered by priority. */
         public int priority;
     }
 
-    /** What a dispatcher is told once, at its start. Unset fields have cautious defaults. */
+    /** The settings of a dispatcher. Unset fields have cautious defaults. */
     public static final class Settings {
         /** Request classes, by number. */
         public final List<RequestClass> classes = new ArrayList<>();
-        /** For each tenant, the requests a second over all dispatchers that are inside its share. */
+        /** For each tenant, the number of requests per second over all schedulers that are within its share. */
         public double[] tenantRatePerS = new double[0];
-        /** This dispatcher's number among {@link #schedulerCount}. */
+        /** The index of this scheduler among {@link #schedulerCount}. */
         public int schedulerIndex;
-        /** How many dispatchers there are. */
+        /** The number of schedulers. */
         public int schedulerCount = 1;
-        /** The zone of this dispatcher. */
+        /** The zone of this scheduler. */
         public int zone;
-        /** The list of workers must be asked for; else it is pushed. */
+        /** The worker list has to be polled; else it is pushed. */
         public boolean pollList;
-        /** One that has not asked for this long counts as told all the same (0: no such rule). */
+        /** A scheduler that has not polled for this long counts as notified of all changes (0: no such rule). */
         public long maxPollIntervalUs;
-        /** Nothing new to a worker later than this after word that it drains or is gone. */
+        /** No new work may reach a worker later than this after the notification that it is draining or gone. */
         public long drainGraceUs;
-        /** A started worker has at least this share of its capacity. */
+        /** A worker that has just started has at least this share of its capacity. */
         public double coldCapacityShare = 0.1;
-        /** It has all of it after this time. */
+        /** A worker has its full capacity this long after its start. */
         public long warmUpUs;
-        /** It falls over when it is sent more than this many times its present capacity... */
+        /** A warming-up worker collapses if it is sent more than this multiple of its current capacity ... */
         public double collapseLoadFactor = 2;
-        /** ...for this long. */
+        /** ... for this long. */
         public long collapseAfterUs = 1_000_000;
-        /** A final answer may come this much after the client's time. */
+        /** A final response may be this much later than the client's deadline. */
         public long responseSlackUs;
-        /** The host handles events at most this often. */
+        /** The interval at which the host handles events. */
         public long tickUs = 1_000;
-        /** What {@link Host#send} sends leaves within this, or never: it may have to wait for a connection to come up. */
+        /** An attempt leaves within this time after {@link Host#send}, or never: it may have to wait for a connection to be established. */
         public long connectTimeoutUs;
-        /** The most attempts a request can have. */
+        /** The maximum number of attempts of a request. */
         public int maxAttempts = 1;
-        /** Two attempts of one request may be out at once. */
+        /** Two attempts of one request may be in flight at once. */
         public boolean concurrentAttemptsAllowed;
-        /** Attempts may be called off. */
+        /** Attempts may be cancelled. */
         public boolean cancelAllowed;
         /** Probes may be sent. */
         public boolean probesAllowed;
-        /** Messages to other dispatchers may be sent. */
+        /** Messages to other schedulers may be sent. */
         public boolean peerMessagesAllowed;
-        /** Clients are given advice on when to come back. */
+        /** Rejections tell the client when to retry. */
         public boolean retryAfterAllowed;
-        /** The longest such advice that is heeded. */
+        /** The longest retry delay that clients respect. */
         public long maxRetryAfterUs;
         /** How load reports arrive. */
         public LoadReportSource loadReportSource = LoadReportSource.NONE;
-        /** What the list's size figure holds. */
+        /** The meaning of the size in the worker list. */
         public SizeMetric sizeMetric = SizeMetric.NONE;
-        /** Jobs may need something that a worker keeps for a while, named by the request's key. */
+        /** Price if jobs need data, named by the request's key, that a worker keeps for a while. */
         public double originFetchPrice;
-        /** Points for each request that crosses zones, as a share of all points. */
+        /** Price if every request crosses zones, as a share of the maximum score. */
         public double crossZonePrice;
-        /** Points for one probe a request. */
+        /** Price of one probe per request. */
         public double probePrice;
-        /** Points for 256 bytes delivered to peers for each request. */
+        /** Price of 256 bytes delivered to peers per request. */
         public double peerMessagePrice;
-        /** Points for as much wasted work as was asked for. */
+        /** Price of as much wasted work as was requested. */
         public double wastedWorkPrice;
-        /** Points for all failing only after the aim. */
+        /** Price if all requests fail, and only after the soft deadline. */
         public double lateFailurePrice;
-        /** Worth kept by a request over its tenant's share. */
+        /** Share of its value that a request beyond its tenant's share keeps. */
         public double overShareValue = 1;
-        /** Workers say when a job starts. */
+        /** Workers report the start of a job. */
         public boolean jobStartReported;
-        /** The gap between progress notes; 0: none. */
+        /** The interval between progress reports; 0: none. */
         public long progressIntervalUs;
-        /** A waiting job at the head of a worker's queue holds up those behind it. */
+        /** A job that waits at the head of a worker's queue blocks those behind it. */
         public boolean headOfLineBlocking = true;
     }
 
-    /** One worker as the list has it. */
+    /** A worker as described by the worker list. */
     public static final class Worker {
-        /** Its id, the same at every dispatcher and across restarts of its process. */
+        /** Its id, the same at all schedulers and across restarts of its process. */
         public int id;
         /** Its state. */
         public WorkerState state = WorkerState.READY;
@@ -207,163 +205,163 @@
         public int zone;
         /** Its cell. */
         public int cell;
-        /** Its machine kind. */
+        /** Its kind of machine. */
         public int kind;
-        /** Its size figure, see {@link SizeMetric}. */
+        /** Its size, see {@link SizeMetric}. */
         public double size = 1;
     }
 
-    /** A request as the dispatcher took it. */
+    /** An accepted request. */
     public static final class Request {
-        /** Its id; never used again. */
+        /** Its id, which is never reused. */
         public int id;
-        /** Its class. */
+        /** The number of its class. */
         public int requestClass;
-        /** Its tenant, by its place in {@link Settings#tenantRatePerS}; -1: none of them. */
+        /** The index of its tenant in {@link Settings#tenantRatePerS}; -1: none of them. */
         public int tenant;
-        /** A rough guess of its cost in core time; 0: none. */
+        /** A rough estimate of its cost in core time; 0: unknown. */
         public long costHintUs;
-        /** Slots that it takes. */
+        /** Slots that it occupies. */
         public double slots = 1;
-        /** Memory that it takes. */
+        /** Memory that it occupies. */
         public double memory;
-        /** What it concerns; 0: nothing. */
+        /** Identifies the data that it needs; 0: none. */
         public long key;
-        /** The client says that this is a repeat. */
+        /** The client marked this as a retry. */
         public boolean clientRetry;
-        /** When the client gives this try up. */
+        /** When the client abandons this try. */
         public long deadlineAtUs;
     }
 
-    /** A worker's load report; each figure is {@code NaN} when absent. It is some time old and not exact. */
+    /** A worker's load report; absent values are {@code NaN}. It is not exact, and some time old. */
     public static final class Report {
         /** Free slots. */
         public double freeSlots;
         /** Free memory. */
         public double freeMemory;
-        /** Share of the cores that is busy. */
+        /** Busy share of the cores. */
         public double utilization;
-        /** Recent time to serve, without waiting, in milliseconds. */
+        /** Recent service time without queueing, in milliseconds. */
         public double serviceTimeMs;
-        /** Requests in hand, waiting ones included. */
+        /** Outstanding requests, including queued ones. */
         public double outstanding;
-        /** Requests waiting. */
+        /** Queued requests. */
         public double queued;
-        /** Errors a second. */
+        /** Errors per second. */
         public double errorsPerS;
 
-        /** Makes every figure absent. */
+        /** Makes all values absent. */
         public void clear() {
             freeSlots = freeMemory = utilization = serviceTimeMs = outstanding = queued = errorsPerS = Double.NaN;
         }
     }
 
-    /** The events that a host delivers. */
+    /** The events that a host delivers to its dispatcher. */
     public interface Dispatcher {
-        /** The whole list, which replaces the old one, or (delta) only the entries that changed. */
+        /** The worker list: either complete, replacing the old one, or (delta) only the changed entries. */
         void workerListReceived(long nowUs, boolean delta, List<Worker> entries);
 
-        /** A call to the list failed or the subscription broke; what was known stands. */
+        /** A call to the list service failed or the watch was lost; the last list stays valid. */
         void workerListFailed(long nowUs);
 
-        /** As {@link #workerListFailed(long)}, where the host knows how it failed. */
+        /** As {@link #workerListFailed(long)}, where the host knows the kind of failure. */
         default void workerListFailed(long nowUs, ListCallFailure failure) {
             workerListFailed(nowUs);
         }
 
         /**
-         * No attempt may begin from untilUs on, as the list of workers may be out of date then; told anew whenever that changes.
-         * Before the first call there is no such limit.
+         * No attempt may start from untilUs on, as the worker list may be out of date then. Called whenever that time changes; before
+         * the first call there is no limit.
          */
         default void listLeaseChanged(long nowUs, long untilUs) {
         }
 
-        /** A request was taken. */
+        /** A request was accepted. */
         void requestAccepted(long nowUs, Request request);
 
-        /** A worker started the job of an attempt, or (share above 0) tells how much is done. */
+        /** A worker started the job of an attempt, or (share above 0) reported its progress. */
         default void progressReported(long nowUs, int requestId, int attempt, int workerId, double completedShare) {
         }
 
-        /** An attempt has begun to answer with a stream; the request is bound to it. */
+        /** An attempt has started to stream its response; the request can't move to another attempt any more. */
         void streamStarted(long nowUs, int requestId, int attempt);
 
-        /** An attempt ended. Closed: nothing more is owed for the request. Report: null or the load. */
+        /** An attempt ended. If requestClosed, no response is due for the request any more. The report may be null. */
         void attemptEnded(long nowUs, int requestId, int attempt, int workerId, Outcome outcome, long elapsedUs,
             boolean requestClosed, Report report);
 
-        /** Nobody waits for this request any more. */
+        /** The client no longer waits for this request. */
         void requestAbandoned(long nowUs, int requestId);
 
-        /** A probe ended. Report: null or the worker's load. */
+        /** A probe ended; the report may be null. */
         void probeEnded(long nowUs, int workerId, Outcome outcome, long elapsedUs, Report report);
 
-        /** The host leaves: what is open at byUs gets no answer from then on, and others can take new requests. */
+        /** The process is shutting down: requests still open at shutdownAtUs get no response; other schedulers can accept new ones. */
         default void shutdownStarted(long nowUs, long shutdownAtUs) {
         }
 
-        /** Other settings hold from now on; requests under way keep the class that they came with. */
+        /** New settings apply from now on; open requests keep the class with which they were accepted. */
         default void settingsChanged(long nowUs, Settings settings) {
         }
 
-        /** How many listed workers it avoids at present. Any time after the first list; changes nothing. */
+        /** The number of listed workers that get no new work at present. May be called at any time after the first list; has no effect. */
         default int excludedWorkerCount(long nowUs) {
             return 0;
         }
 
-        /** Another dispatcher told this one something. */
+        /** A message from another scheduler arrived. */
         default void peerMessageReceived(long nowUs, int sender, byte[] body) {
         }
 
-        /** A timer came due. */
+        /** A timer expired. */
         void timerExpired(long nowUs, long token);
     }
 
-    /** The actions that a dispatcher asks of its host, during an event only. */
+    /** The actions that a dispatcher requests from its host, during an event only. */
     public interface Host {
-        /** Sends the request to a worker, as its next attempt; given up after withinUs (0: never). */
+        /** Sends the request to a worker as its next attempt, which times out after timeoutUs (0: never). */
         void send(int requestId, int workerId, long timeoutUs);
 
-        /** Why the final answer that follows, a refusal or a failure, is given; for the host's log. */
+        /** Reports why the rejection or failure that follows is sent, for the host's log. */
         default void reportEndReason(int requestId, EndReason reason) {
         }
 
-        /** Final answer: turned away; trying again is harmless, best after comeBackUs (0: no advice). */
+        /** Final response: rejected; a retry is harmless, preferably after retryAfterUs (0: no advice). */
         void reject(int requestId, long retryAfterUs);
 
-        /** Final answer: failed; it may have run. */
+        /** Final response: failed; the request may have run. */
         void fail(int requestId);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt: stops waiting for it. */
         void cancel(int requestId, int attempt);
 
-        /** Asks a worker for its load. */
+        /** Requests a load report from a worker. */
         void probe(int workerId);
 
         /** Calls {@link Dispatcher#timerExpired} with this token after delayUs. */
         void startTimer(long token, long delayUs);
 
         /**
-         * As {@link #startTimer}, once for a request, during {@link Dispatcher#requestAccepted}: it need not come any more once the
-         * request has its final answer and no attempt of it is out.
+         * As {@link #startTimer}, but at most once per request, during {@link Dispatcher#requestAccepted}. The host may drop this timer
+         * when the request has its final response and no attempt is in flight.
          */
         default void startRequestTimer(int requestId, long token, long delayUs) {
             startTimer(token, delayUs);
         }
 
-        /** Subscribes to changes of the list, or ends that. */
+        /** Starts or ends the watch of the worker list. */
         void watchWorkerList(boolean on);
 
-        /** Asks for the whole list once. */
+        /** Polls the complete worker list once. */
         void fetchWorkerList();
 
-        /** Sends a message to a dispatcher, or to all others ({@link #ALL_PEERS}). */
+        /** Sends a message to one scheduler, or to all others ({@link #ALL_PEERS}). */
         void sendToPeer(int peer, byte[] body);
 
-        /** A line for the operators. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 
-    /** Receiver of a message meant for every other dispatcher. */
+    /** Receiver of a message for all other schedulers. */
     public static final int ALL_PEERS = -1;
 }
--- a/core/src/main/java/hookweir/Policy.java
+++ b/core/src/main/java/hookweir/Policy.java
@@ -3,12 +3,9 @@
 import static hookweir.Decay.fade;
 import static hookweir.Decay.mean;
 
-import hookweir.Contract.DedupScope;
 import hookweir.Contract.EndReason;
 import hookweir.Contract.Idempotency;
 import hookweir.Contract.Outcome;
-import hookweir.Contract.RequestClass;
-import hookweir.Contract.WorkerState;
 import hookweir.membership.ListCallFailure;
 import hookweir.membership.ListCallPacer;
 import hookweir.membership.WorkerStartTimes;
@@ -20,163 +17,160 @@
 import java.util.Map;
 
 /**
- * Every decision of one dispatcher; the interface, with units and order of events, is in Contract.java.
- *
- * <p>Ordinary path (Kumaran and Sahoo's PSBU): a job goes to a ready worker drawn with probability
- * proportional to its free room by the newest figures; an even draw when all read full; the next check of a
- * worker comes 1 / (fill x alpha) after its last. Departures are marked here and listed in docs/design.md.
+ * The load balancing policy of one scheduler; Contract.java defines its interface, units and event order.
+ * Based on Kumaran and Sahoo's PSBU: a job goes to a ready worker picked at random, weighted by free slots in
+ * its newest report, or uniformly if all are full; a worker is probed 1 / (fill x alpha) after its last
+ * report. Comments that begin "Unlike PSBU" say where the code differs from that rule, and why.
  */
 public final class Policy implements Contract.Dispatcher {
-    // All constants; the rest scales by the settings and by what is seen.
-    private static final double CHECK_POINTS = 0.006; // share of the result that checks may cost
-    private static final int MOST_PROBED = 4; // beyond a few candidates, or rounds, one more adds little
-    private static final double BELIEVED = 1; // reports older than so many mean jobs can't tell who is full
-    private static final double TIMED_SHARE = 0.2; // of the checks stay timed while candidates take the rest
-    private static final double FLOOR_FILL = 0.25; // checks get no rarer below: an idle one's crash is found
-    private static final double FLOOR_ALPHA = 0.02; // least top rate a second, for quiet dispatchers
-    private static final double STALE_GAIN = 0.3; // step to a longer report period: one odd one can't set it
-    private static final double RECHECK = 0.15; // mean jobs until a held job tries again: slots free up
-    private static final long LEAST_GAP_US = 20_000; // between checks of a worker, however many jobs come
-    private static final double ABROAD = 0.1; // room abroad counts so much where crossing costs anything
-    private static final double NEXT_BY_KEY = 0.2; // room at a key's next worker, of the one before it
-    private static final int SAMPLE = 64; // workers weighed for a job in a fleet of more than twice as many
-    private static final double LEAST_ROOM = 0.5; // less by a fresh figure reads as full
-    private static final double TOO_SLOW = 0.1; // room at a worker whose pace ends a job after its aim
-    private static final double COLD_WORK = 0.45; // for a cold worker, of the multiple that pushes it over
-    private static final double COLD_HEAVY = 1.5; // mean jobs: a heavier one spends a cold budget
-    private static final double LEAST_PASSED = 0.2; // of the work that falls on cold ones, taken to go there
-    private static final double ERRING = 0.05; // errors in a mean job's time, for each slot: it is left out
-    private static final double AMPLE = 0.75; // fill up to which a guess that a job is late is doubted
-    private static final double RESERVE = 0.25; // of a worker is left free by work that is late already
-    private static final double PRIOR = 0.01; // worker at half fill in the mean, for want of figures
-    private static final double RATE_WINDOW_S = 5; // requests of so many seconds make up the request rate
-    private static final double FAILURE_GAIN = 0.3; // of each failed job on its worker; good ones take it off
-    private static final double EXCUSED = 0.4; // a single failure says little: the next call may do well
-    private static final double FORGIVEN = 10; // mean jobs in which most of them fade
-    private static final int MOST_ASIDE = 32; // mean jobs that a worker is left alone after failures, at most
-    private static final double BEST_PACE = 0.6; // of a job's hint is the least that its run takes anywhere
-    private static final long BACK_SOON_US = 300_000; // by then clients come to others than one that leaves
-
-    private static final int GUARD = 0, AGAIN = 1, PROBED = 2, CHECK = 3, WATCH = 4;
-
-    /** What is known of one worker. */
-    private static final class W {
-        Contract.Worker e;
+    // Values without a unit in the name are ratios, or multiples of the mean service time where noted.
+    private static final double PROBE_BUDGET = 0.006; // share of the total score that probes may cost
+    private static final int MAX_PROBES = 4; // candidates per job, also further rounds; more add little
+    private static final double MAX_REPORT_AGE = 1; // mean service times; older ones don't tell who is full
+    private static final double PERIODIC_PROBE_SHARE = 0.2; // of all probes, where jobs probe candidates too
+    private static final double MIN_FILL = 0.25; // fill for the probe rate: finds crashes of idle workers too
+    private static final double MIN_ALPHA = 0.02; // probes per second at full load, if few requests arrive
+    private static final double REPORT_AGE_GAIN = 0.3; // smoothing, so that one outlier can't set the age
+    private static final double RETRY_PAUSE = 0.15; // mean service times until a waiting job tries again
+    private static final long MIN_PROBE_GAP_US = 20_000; // per worker, at any request rate
+    private static final double REMOTE_ZONE_WEIGHT = 0.1; // where crossing zones has a price
+    private static final double NEXT_KEY_WEIGHT = 0.2; // each next worker for a key, relative to the previous
+    private static final int SAMPLE_SIZE = 64; // workers considered per job in fleets over twice this size
+    private static final double MIN_FREE_SLOTS = 0.5; // fewer by a fresh report count as full
+    private static final double LATE_FINISH_WEIGHT = 0.1; // if the job would miss its soft deadline there
+    private static final double COLD_LOAD = 0.45; // for cold workers, of the load at which they collapse
+    private static final double MAX_COLD_HINT = 1.5; // mean hints; longer jobs use up a cold worker's budget
+    private static final double MIN_COLD_FIT = 0.2; // assumed minimum of the work short enough for those
+    private static final double MAX_ERROR_LEVEL = 0.05; // errors per mean service time and slot
+    private static final double LOW_FILL = 0.75; // mean fill up to which a short deadline implies no retry
+    private static final double LATE_RESERVE = 0.25; // of a worker's slots is not used by jobs already late
+    private static final double FILL_PRIOR = 0.01; // weight of a half-full worker in the initial mean fill
+    private static final double RATE_WINDOW_S = 5; // time constant of the request rate
+    private static final double FAILURE_GAIN = 0.3; // weight of the newest job in a worker's failure share
+    private static final double TOLERATED_FAILURES = 0.4; // share without effect, as one error says little
+    private static final double FAILURE_MEMORY = 10; // mean service times in which failures mostly decay
+    private static final int MAX_EJECTION = 32; // mean service times that a failing worker is excluded
+    private static final double MIN_RUN_TIME = 0.6; // of a job's cost hint, on any worker
+    private static final long SHUTDOWN_RETRY_US = 300_000; // clients reach other schedulers by then
+
+    private static final int DEADLINE = 0, RETRY = 1, PROBES_DUE = 2, PROBE_AGAIN = 3, WATCH = 4;
+
+    private static final class TrackedWorker {
+        Contract.Worker entry;
         int failures;
-        boolean ready, cold, listed, checkOut;
-        long hash, listedStartUs, startedUs, heardUs, recentUs, figureUs, fullUntilUs, asideUntilUs;
+        boolean ready, cold, listed, probePending;
+        long hash, listedStartUs, startedUs, seenUs, ownUs, refreshedUs, fullUntilUs, ejectedUntilUs;
         double busy = Double.NaN, serviceMs = Double.NaN;
-        double load, free, sizeMax, out, recent, fresh, bad, errors;
-        long badUs;
+        double lastLoad, lastFree, maxSize, own, unreported, fresh, failureShare, errorLevel;
+        long failedUs;
     }
 
-    /** An open request, kept until its last attempt is back. */
+    /** An open request, kept until its last attempt has ended. */
     private static final class Job {
-        int attempts, out, probesOut, rounds;
+        int attempts, inFlight, probesPending, probeRounds;
         double slots;
-        long aimUs, fairUs, firstRunUs, startedUs;
-        boolean done, bound, mayHaveRun, waiting;
-        Contract.Request r;
-        RequestClass in;
-        W firstRun, last;
-        List<W> candidates;
-        boolean[] back;
+        long dueUs, firstTryStartUs, firstRunUs, startedUs;
+        boolean done, streaming, mayHaveRun, waiting;
+        Contract.Request request;
+        Contract.RequestClass type;
+        TrackedWorker firstRun, lastWorker;
+        List<TrackedWorker> candidates;
+        boolean[] ended;
     }
 
-    private Contract.Settings set;
+    private Contract.Settings settings;
     private final Contract.Host host;
-    private final Map<Integer, W> byId = new HashMap<>();
+    private final Map<Integer, TrackedWorker> workersById = new HashMap<>();
     private final Map<Integer, Job> jobs = new HashMap<>();
-    private final List<W> workers = new ArrayList<>();
-    private final List<Job> probing = new ArrayList<>();
-    private boolean checksOn;
-    private double checksPerRequest;
-    private final long salt;
-    private ListCallPacer listCalls;
+    private final List<TrackedWorker> workers = new ArrayList<>();
+    private final List<Job> probingJobs = new ArrayList<>();
+    private boolean probesOn;
+    private double probesPerJob;
+    private final long sampleSalt;
+    private ListCallPacer pacer;
     private final WorkerStartTimes starts = new WorkerStartTimes();
-    private int from, span, fitting;
-    private double[] weight = new double[64], kindSlots = {}, kindPace = {};
-    private double meanHintUs, serviceUs = 1e6, staleUs, probeUs, arrivals;
-    private double passed = 0.67, meanPace = 1, meanFill = 0.5, meanErrors, meanMs = Double.NaN;
+    private int sampleStart, sampleSize, eligibleCount;
+    private double[] weights = new double[64], slotsByKind = {}, extraRunByKind = {};
+    private double meanHintUs, serviceUs = 1e6, reportAgeUs, probeUs, arrivals;
+    private double coldFit = 0.67, meanRun = 1, meanFill = 0.5, meanErrors, meanMs = Double.NaN;
     private final SplitMix random;
-    private long arrivalsUs, leaveUs, turnedUs = Long.MIN_VALUE / 2, leaseUntilUs = Long.MAX_VALUE;
-    private boolean started, listHeld, watching, cooling; // cooling: some worker may be cold
+    private long arrivalsUs, stopUs, rejectedUs = Long.MIN_VALUE / 2, leaseUntilUs = Long.MAX_VALUE;
+    private boolean started, listHeld, watching, anyCold;
 
-    /** A dispatcher at its start; the seed makes its draws differ from those of others. */
+    /** A policy without any workers yet; schedulers need different seeds so that their picks differ. */
     public Policy(Contract.Settings settings, long seed, Contract.Host host) {
         this.host = host;
         random = new SplitMix(seed);
-        salt = SplitMix.mix(seed);
-        for (RequestClass c : settings.classes) serviceUs = Math.min(serviceUs, c.softDeadlineUs);
-        probeUs = staleUs = 4.0 * settings.tickUs;
+        sampleSalt = SplitMix.mix(seed);
+        for (Contract.RequestClass c : settings.classes) serviceUs = Math.min(serviceUs, c.softDeadlineUs);
+        probeUs = reportAgeUs = 4.0 * settings.tickUs;
         settingsChanged(0, settings);
     }
 
-    /** What was learnt stays; all that settings decide follows. */
-    @Override public void settingsChanged(long now, Contract.Settings settings) {
-        if (set == null || set.schedulerCount != settings.schedulerCount || set.pollList != settings.pollList) {
-            listCalls = new ListCallPacer(settings.schedulerCount, settings.pollList, settings.maxPollIntervalUs);
+    /** Keeps all that was measured and replaces what is derived from the settings. */
+    @Override public void settingsChanged(long now, Contract.Settings next) {
+        if (settings == null || settings.schedulerCount != next.schedulerCount
+                || settings.pollList != next.pollList) {
+            pacer = new ListCallPacer(next.schedulerCount, next.pollList, next.maxPollIntervalUs);
         }
-        set = settings;
-        checksOn = settings.probesAllowed && settings.loadReportSource != Contract.LoadReportSource.NONE;
-        checksPerRequest = Math.max(1, Math.min(MOST_PROBED, CHECK_POINTS / Math.max(set.probePrice, 1e-9)));
+        settings = next;
+        probesOn = next.probesAllowed && next.loadReportSource != Contract.LoadReportSource.NONE;
+        probesPerJob = Math.max(1, Math.min(MAX_PROBES, PROBE_BUDGET / Math.max(settings.probePrice, 1e-9)));
     }
 
-    // ---- the list of workers ----
-
     @Override public void workerListReceived(long now, boolean delta, List<Contract.Worker> entries) {
-        if (started && leased(now)) listCalls.callSucceeded();
-        if (!started && set.pollList) host.startTimer(WATCH, listCalls.firstCallDelayUs(random.uniform()));
+        if (started && leaseValid(now)) pacer.callSucceeded();
+        if (!started && settings.pollList) host.startTimer(WATCH, pacer.firstCallDelayUs(random.uniform()));
         started = true;
         for (int i = 0; !delta && i < workers.size(); i++) workers.get(i).listed = false;
-        for (Contract.Worker e : entries) {
-            W w = byId.get(e.id);
-            if (w == null) w = added(e, now);
-            w.listed = e.state != WorkerState.GONE;
-            w.ready = e.state == WorkerState.READY;
-            w.e = e;
-            if (e.kind >= kindSlots.length) {
-                kindSlots = Arrays.copyOf(kindSlots, 2 * e.kind + 8);
-                kindPace = Arrays.copyOf(kindPace, 2 * e.kind + 8);
+        for (Contract.Worker entry : entries) {
+            TrackedWorker worker = workersById.get(entry.id);
+            if (worker == null) worker = addWorker(entry, now);
+            worker.listed = entry.state != Contract.WorkerState.GONE;
+            worker.ready = entry.state == Contract.WorkerState.READY;
+            worker.entry = entry;
+            if (entry.kind >= slotsByKind.length) {
+                slotsByKind = Arrays.copyOf(slotsByKind, 2 * entry.kind + 8);
+                extraRunByKind = Arrays.copyOf(extraRunByKind, 2 * entry.kind + 8);
             }
-            if (e.startedAtUs != w.listedStartUs) restarted(w, e.startedAtUs, now);
-            if (set.sizeMetric == Contract.SizeMetric.LIVE && e.size > 0) {
-                // Departure: where the list's size figure falls with the requests held, it is a report too.
-                w.sizeMax = Math.max(w.sizeMax, e.size);
-                staleUs += w.heardUs == 0 ? 0 : Decay.GAIN / 10 * (now - w.heardUs - staleUs);
-                heard(w, now, slots(w) * (w.sizeMax / e.size - 1));
+            if (entry.startedAtUs != worker.listedStartUs) resetWorker(worker, entry.startedAtUs, now);
+            if (settings.sizeMetric == Contract.SizeMetric.LIVE && entry.size > 0) {
+                // Unlike PSBU: a listed size that falls as the worker's load grows is a load report too.
+                worker.maxSize = Math.max(worker.maxSize, entry.size);
+                reportAgeUs += worker.seenUs == 0 ? 0 : Decay.GAIN / 10 * (now - worker.seenUs - reportAgeUs);
+                setBusy(worker, now, slots(worker) * (worker.maxSize / entry.size - 1));
             }
         }
-        // Rule 3: a worker that is gone, or missing from a whole list, is out of every draw from now on.
-        workers.removeIf(w -> !w.listed && byId.remove(w.e.id, w));
+        // A worker that is gone, or missing from a whole list, must not get new work.
+        workers.removeIf(worker -> !worker.listed && workersById.remove(worker.entry.id, worker));
         listHeld |= !workers.isEmpty();
-        if (weight.length < workers.size()) weight = new double[2 * workers.size()];
+        if (weights.length < workers.size()) weights = new double[2 * workers.size()];
     }
 
-    /** Draining ones, and those set aside for failures. */
+    /** Counts draining workers and those ejected after failures. */
     @Override public int excludedWorkerCount(long now) {
-        return (int) workers.stream().filter(w -> !w.ready || now < w.asideUntilUs).count();
+        return (int) workers.stream().filter(worker -> !worker.ready || now < worker.ejectedUntilUs).count();
     }
 
-    private W added(Contract.Worker e, long now) {
-        W w = new W();
-        w.figureUs = now;
-        w.hash = SplitMix.mix(e.id);
-        byId.put(e.id, w);
-        workers.add(w);
-        host.startTimer(token(CHECK, e.id), (long) (random.uniform() * serviceUs));
-        return w;
+    private TrackedWorker addWorker(Contract.Worker entry, long now) {
+        TrackedWorker worker = new TrackedWorker();
+        worker.refreshedUs = now;
+        worker.hash = SplitMix.mix(entry.id);
+        workersById.put(entry.id, worker);
+        workers.add(worker);
+        host.startTimer(token(PROBE_AGAIN, entry.id), (long) (random.uniform() * serviceUs));
+        return worker;
     }
 
-    /** A restarted process holds nothing and has failed nobody yet. */
-    private void restarted(W w, long startedUs, long now) {
-        w.listedStartUs = startedUs;
-        w.startedUs = starts.startTimeUs(w.e.id, startedUs, now, listHeld);
-        w.cold = startedUs > 0;
-        cooling |= w.cold;
-        w.busy = w.serviceMs = Double.NaN;
-        w.out = w.recent = w.bad = w.errors = w.failures = 0;
-        w.asideUntilUs = w.fullUntilUs = 0;
+    /** Forgets load and failures: a restarted process holds no jobs and has not failed any. */
+    private void resetWorker(TrackedWorker worker, long startedUs, long now) {
+        worker.listedStartUs = startedUs;
+        worker.startedUs = starts.startTimeUs(worker.entry.id, startedUs, now, listHeld);
+        worker.cold = startedUs > 0;
+        anyCold |= worker.cold;
+        worker.busy = worker.serviceMs = Double.NaN;
+        worker.own = worker.unreported = worker.failureShare = worker.errorLevel = worker.failures = 0;
+        worker.ejectedUntilUs = worker.fullUntilUs = 0;
     }
 
     @Override public void workerListFailed(long now) {
@@ -185,531 +179,533 @@
 
     @Override public void workerListFailed(long now, ListCallFailure failure) {
         watching = false;
-        host.startTimer(WATCH, listCalls.retryDelayUs(failure, random.uniform()));
+        host.startTimer(WATCH, pacer.retryDelayUs(failure, random.uniform()));
     }
 
     @Override public void listLeaseChanged(long now, long untilUs) {
         leaseUntilUs = untilUs;
     }
 
-    // ---- requests ----
-
-    @Override public void requestAccepted(long now, Contract.Request r) {
-        Job j = new Job();
-        j.r = r;
-        j.in = set.classes.get(r.requestClass);
-        j.slots = r.slots > 0 ? r.slots : 1;
-        j.back = new boolean[set.maxAttempts];
-        // A client's tries share one aim, counted from its first.
-        long born = Math.min(now, r.deadlineAtUs - j.in.deadlineUs);
-        j.aimUs = Math.min(born + j.in.softDeadlineUs + (long) (j.in.softDeadlineStretch * j.r.costHintUs), r.deadlineAtUs);
-        // That it waited before is a guess by its deadline: unless marked it may be a first try.
-        j.fairUs = j.aimUs - j.r.costHintUs;
-        if (!r.clientRetry) j.fairUs = Math.min(j.fairUs + now - born, r.deadlineAtUs - j.r.costHintUs);
-        jobs.put(j.r.id, j);
-        meanHintUs = meanHintUs == 0 ? j.r.costHintUs : mean(meanHintUs, j.r.costHintUs);
+    @Override public void requestAccepted(long now, Contract.Request request) {
+        Job job = new Job();
+        job.request = request;
+        job.type = settings.classes.get(request.requestClass);
+        job.slots = request.slots > 0 ? request.slots : 1;
+        job.ended = new boolean[settings.maxAttempts];
+        // All tries of a client share one soft deadline, counted from the first try.
+        long firstTryUs = Math.min(now, request.deadlineAtUs - job.type.deadlineUs);
+        job.dueUs = Math.min(firstTryUs + job.type.softDeadlineUs
+            + (long) (job.type.softDeadlineStretch * job.request.costHintUs), request.deadlineAtUs);
+        // A short deadline suggests an earlier try, but unless marked as a retry this may be the first one.
+        job.firstTryStartUs = job.dueUs - job.request.costHintUs;
+        if (!request.clientRetry) job.firstTryStartUs = Math.min(job.firstTryStartUs + now - firstTryUs,
+            request.deadlineAtUs - job.request.costHintUs);
+        jobs.put(job.request.id, job);
+        meanHintUs = meanHintUs == 0 ? job.request.costHintUs : mean(meanHintUs, job.request.costHintUs);
         arrivals = arrivals * fade(now - arrivalsUs, RATE_WINDOW_S * 1e6) + 1;
         arrivalsUs = now;
-        long guardUs = leaveUs > 0 ? Math.min(leaveUs, j.r.deadlineAtUs) : j.r.deadlineAtUs;
-        host.startRequestTimer(j.r.id, token(GUARD, j.r.id), Math.max(0, guardUs - now - 2 * set.tickUs));
-        boolean firstTry = !r.clientRetry && born >= now - 4 * set.tickUs;
-        W lot = firstTry && leased(now) && endsHere(j, now) ? coldLot(j, now) : null;
-        if (lot != null && maySend(j, now)) send(j, lot, now);
-        else start(j, now);
-    }
-
-    /**
-     * Rule 4, a departure while any worker is cold: these are out of the draw. Each first try draws a lot
-     * over the fleet by the capacity that each surely has; falls it on a cold worker, it goes there. So all
-     * together send it that share and no more, however full others are or often tried. Of what falls on them
-     * only jobs that end in time at their present pace go there, and lots count for so much more than once.
-     */
-    private W coldLot(Job j, long now) {
-        if (!cooling) return null;
-        cooling = false;
-        from = 0;
-        span = workers.size();
-        double cold = 0, ending = 0;
-        double lots = Math.max(1, COLD_WORK * set.collapseLoadFactor / Math.max(LEAST_PASSED, passed));
-        for (int i = 0; i < span; i++) {
-            W w = workers.get(i);
-            double warm = warmth(w, now);
-            cooling |= warm < 1;
-            w.cold = w.ready && warm < 1;
-            weight[i] = w.ready ? warm * slots(w) / pace(w) : 0;
-            if (!w.cold) continue;
-            cold += weight[i];
-            ending += endsCold(j, w, now) ? weight[i] : 0;
-            weight[i] *= lots;
+        long endUs = stopUs > 0 ? Math.min(stopUs, job.request.deadlineAtUs) : job.request.deadlineAtUs;
+        host.startRequestTimer(job.request.id, token(DEADLINE, job.request.id),
+            Math.max(0, endUs - now - 2 * settings.tickUs));
+        boolean firstTry = !request.clientRetry && firstTryUs >= now - 4 * settings.tickUs;
+        TrackedWorker cold = firstTry && leaseValid(now) && endsBeforeStop(job, now)
+            ? pickColdWorker(job, now) : null;
+        if (cold != null && maySend(job, now)) send(job, cold, now);
+        else dispatch(job, now);
+    }
+
+    // Unlike PSBU: cold workers are not in the ordinary selection, so that all schedulers together stay below
+    // the load at which one collapses. Each first try picks among all workers by guaranteed capacity
+    // and goes there if that one is cold: neither retries nor full workers raise this share. Jobs that would
+    // end late there are not sent, and picks of cold workers are boosted by the share of such work.
+    private TrackedWorker pickColdWorker(Job job, long now) {
+        if (!anyCold) return null;
+        anyCold = false;
+        sampleStart = 0;
+        sampleSize = workers.size();
+        double cold = 0, accepted = 0;
+        double boost = Math.max(1, COLD_LOAD * settings.collapseLoadFactor / Math.max(MIN_COLD_FIT, coldFit));
+        for (int i = 0; i < sampleSize; i++) {
+            TrackedWorker worker = workers.get(i);
+            double warm = warmFraction(worker, now);
+            anyCold |= warm < 1;
+            worker.cold = worker.ready && warm < 1;
+            weights[i] = worker.ready ? warm * slots(worker) / runTime(worker) : 0;
+            if (!worker.cold) continue;
+            cold += weights[i];
+            accepted += finishesOnCold(job, worker, now) ? weights[i] : 0;
+            weights[i] *= boost;
         }
-        if (cold > 0) passed += Decay.GAIN * Math.min(4, j.r.costHintUs / serviceUs) * (ending / cold - passed);
-        int at = draw();
-        W w = at < 0 ? null : workers.get(at);
-        boolean open = w != null && w.cold && now >= w.asideUntilUs && fits(j, w) && endsCold(j, w, now);
-        return open && slots(w) - busy(w, now) >= j.slots ? w : null;
+        if (cold > 0) coldFit += Decay.GAIN * Math.min(4, job.request.costHintUs / serviceUs)
+            * (accepted / cold - coldFit);
+        int index = pick();
+        TrackedWorker worker = index < 0 ? null : workers.get(index);
+        boolean open = worker != null && worker.cold && now >= worker.ejectedUntilUs && fits(job, worker)
+            && finishesOnCold(job, worker, now);
+        return open && slots(worker) - busySlots(worker, now) >= job.slots ? worker : null;
     }
 
-    /** A cold worker runs slower by what it lacks. */
-    private boolean endsCold(Job j, W w, long now) {
-        if (j.r.costHintUs > COLD_HEAVY * meanHintUs) return false;
-        return now + j.r.costHintUs * pace(w) / warmth(w, now) < j.aimUs;
+    /** True if a worker that runs slower in proportion to its missing capacity finishes the job in time. */
+    private boolean finishesOnCold(Job job, TrackedWorker w, long now) {
+        if (job.request.costHintUs > MAX_COLD_HINT * meanHintUs) return false;
+        return now + job.request.costHintUs * runTime(w) / warmFraction(w, now) < job.dueUs;
     }
 
-    /** Departure: a run's pace, of its hint, by the list's size for a slot and as its kind was seen. */
-    private double pace(W w) {
-        boolean sized = set.sizeMetric == Contract.SizeMetric.NOMINAL && w.e.size > 0;
-        return (sized ? slots(w) / w.e.size : 1) * (1 + kindPace[w.e.kind]);
+    /** Unlike PSBU: run time relative to the cost hint, by listed size per slot and as measured per kind. */
+    private double runTime(TrackedWorker w) {
+        boolean sized = settings.sizeMetric == Contract.SizeMetric.NOMINAL && w.entry.size > 0;
+        return (sized ? slots(w) / w.entry.size : 1) * (1 + extraRunByKind[w.entry.kind]);
     }
 
-    /** The share of its capacity that a worker surely has. */
-    private double warmth(W w, long now) {
-        if (w.startedUs == 0 || now - w.startedUs >= set.warmUpUs) return 1;
-        return set.coldCapacityShare + (1 - set.coldCapacityShare) * Math.max(0, now - w.startedUs) / set.warmUpUs;
+    /** The share of its capacity that a worker is guaranteed to have; it grows linearly while warming up. */
+    private double warmFraction(TrackedWorker w, long now) {
+        if (w.startedUs == 0 || now - w.startedUs >= settings.warmUpUs) return 1;
+        return settings.coldCapacityShare
+            + (1 - settings.coldCapacityShare) * Math.max(0, now - w.startedUs) / settings.warmUpUs;
     }
 
-    private void start(Job j, long now) {
-        if (!endsHere(j, now) && mayRefuse(j)) finish(j, EndReason.LEAVING, now);
-        else if (checksOn && leased(now) && believed(j) && maySend(j, now)) probeCandidates(j, now);
-        else place(j, now);
+    private void dispatch(Job job, long now) {
+        if (!endsBeforeStop(job, now) && mayReject(job)) finish(job, EndReason.LEAVING, now);
+        else if (probesOn && leaseValid(now) && reportsFresh(job) && maySend(job, now)) probeFirst(job, now);
+        else place(job, now);
     }
 
-    /** The list is as good as told: an attempt may begin by it. */
-    private boolean leased(long now) {
+    /** Attempts may only start while the worker list can't be out of date. */
+    private boolean leaseValid(long now) {
         return now < leaseUntilUs;
     }
 
-    /** Reports are young enough to tell who is full; half the age where a key leaves few to look at. */
-    private boolean believed(Job j) {
-        return staleUs < BELIEVED * serviceUs * (j != null && j.r.key != 0 ? 0.5 : 1);
-    }
-
-    /** Departure: before the draw, figures of some candidates, themselves drawn by room, are taken afresh. */
-    private void probeCandidates(Job j, long now) {
-        weigh(j, now);
-        j.candidates = new ArrayList<>();
-        j.probesOut = 0;
-        for (int i = 0; i < (int) checksPerRequest; i++) {
-            int at = draw();
-            if (at < 0) break;
-            W w = workers.get(at);
-            j.candidates.add(w);
-            weight[at] = 0;
-            if (now - w.heardUs > Math.max(serviceUs * RECHECK, LEAST_GAP_US)) check(w);
-            j.probesOut += w.checkOut ? 1 : 0;
+    /** Reports are fresh enough to tell who is full; keyed jobs, with few candidates, need half that age. */
+    private boolean reportsFresh(Job job) {
+        return reportAgeUs < MAX_REPORT_AGE * serviceUs * (job != null && job.request.key != 0 ? 0.5 : 1);
+    }
+
+    /** Unlike PSBU: probes some candidates, picked by free slots, and then selects by their new reports. */
+    private void probeFirst(Job job, long now) {
+        computeWeights(job, now);
+        job.candidates = new ArrayList<>();
+        job.probesPending = 0;
+        for (int i = 0; i < (int) probesPerJob; i++) {
+            int index = pick();
+            if (index < 0) break;
+            TrackedWorker worker = workers.get(index);
+            job.candidates.add(worker);
+            weights[index] = 0;
+            if (now - worker.seenUs > Math.max(serviceUs * RETRY_PAUSE, MIN_PROBE_GAP_US)) probe(worker);
+            job.probesPending += worker.probePending ? 1 : 0;
         }
-        j.waiting = true;
-        probing.add(j);
-        if (j.probesOut > 0) host.startTimer(token(PROBED, j.r.id), (long) (2 * probeUs) + set.tickUs);
-        else place(j, now);
-    }
-
-    /** Draws a worker for the job and sends it there; holds or ends it where that can't be. */
-    private void place(Job j, long now) {
-        j.waiting = false;
-        probing.remove(j);
-        if (j.done || j.bound) return;
-        if (!maySend(j, now)) {
-            if (j.out == 0) finish(j, EndReason.NO_ATTEMPT_LEFT, now);
+        job.waiting = true;
+        probingJobs.add(job);
+        if (job.probesPending > 0) host.startTimer(token(PROBES_DUE, job.request.id),
+            (long) (2 * probeUs) + settings.tickUs);
+        else place(job, now);
+    }
+
+    /** Selects a worker for the job and sends it there; if there is none, the job waits or ends. */
+    private void place(Job job, long now) {
+        job.waiting = false;
+        probingJobs.remove(job);
+        if (job.done || job.streaming) return;
+        if (!maySend(job, now)) {
+            if (job.inFlight == 0) finish(job, EndReason.NO_ATTEMPT_LEFT, now);
             return;
         }
-        if (!leased(now)) {
-            j.candidates = null;
-            hold(j, EndReason.NO_LIST, now);
+        if (!leaseValid(now)) {
+            job.candidates = null;
+            waitOrFinish(job, EndReason.NO_LIST, now);
             return;
         }
-        double room = weigh(j, now);
-        for (int n = 0; j.candidates != null && room > 0 && n < span; n++) {
-            W w = workers.get(at(n));
-            if (w.checkOut || !j.candidates.contains(w)) weight[at(n)] = 0;
-        }
-        int at = draw();
-        boolean inTime = now < latestStart(j);
-        // Departure: where those looked at have no room, others are looked at: few requests, old figures.
-        boolean further = at < 0 && room > 0 && inTime && j.rounds++ < MOST_PROBED;
-        if (!further && at < 0 && room > 0 && weigh(j, now) > 0) at = draw();
-        j.candidates = null;
-        // Who waited was turned away somewhere; while nobody was here, a short deadline is a client's own.
-        boolean calm = meanFill < AMPLE && now - turnedUs > j.in.deadlineUs;
-        boolean hurry = room > 0 && now < j.fairUs && calm;
-        boolean worthless = !inTime && !hurry && j.in.lateValueShare <= 0 && mayRefuse(j);
-        if (further) {
-            probeCandidates(j, now);
-        } else if (at >= 0 && !worthless && (room > 0 || !believed(j) || !inTime && !mayRefuse(j))) {
-            send(j, workers.get(at), now);
-        } else {
-            hold(j, EndReason.TOO_LATE, now);
+        double free = computeWeights(job, now);
+        for (int n = 0; job.candidates != null && free > 0 && n < sampleSize; n++) {
+            TrackedWorker worker = workers.get(indexOf(n));
+            if (worker.probePending || !job.candidates.contains(worker)) weights[indexOf(n)] = 0;
         }
-    }
-
-    /** Departure: while nobody can take it and time is left, the job waits where it can still go anywhere. */
-    private void hold(Job j, EndReason otherwise, long now) {
-        if (now >= latestStart(j)) {
-            finish(j, otherwise, now);
+        int index = pick();
+        boolean inTime = now < latestStart(job);
+        // Unlike PSBU: if no candidate is free, others are probed; with few requests, their reports are old.
+        boolean further = index < 0 && free > 0 && inTime && job.probeRounds++ < MAX_PROBES;
+        if (!further && index < 0 && free > 0 && computeWeights(job, now) > 0) index = pick();
+        job.candidates = null;
+        // Retries of rejected requests have short deadlines; with no rejections, the client chose it.
+        boolean lowLoad = meanFill < LOW_FILL && now - rejectedUs > job.type.deadlineUs;
+        boolean shortDeadline = free > 0 && now < job.firstTryStartUs && lowLoad;
+        boolean worthless = !inTime && !shortDeadline && job.type.lateValueShare <= 0 && mayReject(job);
+        if (further) probeFirst(job, now);
+        else if (index >= 0 && !worthless && (free > 0 || !reportsFresh(job) || !inTime && !mayReject(job)))
+            send(job, workers.get(index), now);
+        else waitOrFinish(job, EndReason.TOO_LATE, now);
+    }
+
+    /** Unlike PSBU: while all workers are full and time is left, it waits here, free to go anywhere. */
+    private void waitOrFinish(Job job, EndReason otherwise, long now) {
+        if (now >= latestStart(job)) {
+            finish(job, otherwise, now);
             return;
         }
-        j.waiting = true;
-        double pause = Math.min(serviceUs * RECHECK * (0.5 + random.uniform()), latestStart(j) - now);
-        host.startTimer(token(AGAIN, j.r.id), (long) Math.max(set.tickUs, pause));
-    }
-
-    /** The last moment at which a start still earns the full worth; without a hint, for the smallest job. */
-    private long latestStart(Job j) {
-        return j.aimUs - j.r.costHintUs;
-    }
-
-    /** Rule 2, in one place: may this request go out once more? */
-    private boolean maySend(Job j, long now) {
-        boolean closing = now + set.connectTimeoutUs >= j.firstRunUs + j.in.dedupWindowUs * 15 / 16;
-        return j.attempts < Math.min(set.maxAttempts, j.back.length) && now < j.r.deadlineAtUs - set.tickUs
-            && (j.out == 0 || set.concurrentAttemptsAllowed)
-            && (j.firstRun == null || j.in.idempotency == Idempotency.IDEMPOTENT || j.in.idempotency == Idempotency.KEYED && !closing);
-    }
-
-    /** Rule 2: a refusal says that a repeat is harmless. */
-    private boolean mayRefuse(Job j) {
-        return j.firstRun == null || j.in.idempotency == Idempotency.IDEMPOTENT
-            || j.in.idempotency == Idempotency.KEYED && j.in.dedupScope == DedupScope.ALL;
+        job.waiting = true;
+        double pauseUs = Math.min(serviceUs * RETRY_PAUSE * (0.5 + random.uniform()), latestStart(job) - now);
+        host.startTimer(token(RETRY, job.request.id), (long) Math.max(settings.tickUs, pauseUs));
+    }
+
+    /** The latest start that still earns the full value; without a cost hint, that of the shortest job. */
+    private long latestStart(Job job) {
+        return job.dueUs - job.request.costHintUs;
+    }
+
+    /** True if another attempt is allowed now; all conditions for a safe retry are here. */
+    private boolean maySend(Job job, long now) {
+        boolean late = now + settings.connectTimeoutUs >= job.firstRunUs + job.type.dedupWindowUs * 15 / 16;
+        return job.attempts < Math.min(settings.maxAttempts, job.ended.length)
+            && now < job.request.deadlineAtUs - settings.tickUs
+            && (job.inFlight == 0 || settings.concurrentAttemptsAllowed)
+            && (job.firstRun == null || job.type.idempotency == Idempotency.IDEMPOTENT
+                || job.type.idempotency == Idempotency.KEYED && !late);
+    }
+
+    /** Rejecting a request tells the client that a retry is harmless. */
+    private boolean mayReject(Job job) {
+        return job.firstRun == null || job.type.idempotency == Idempotency.IDEMPOTENT
+            || job.type.idempotency == Idempotency.KEYED && job.type.dedupScope == Contract.DedupScope.ALL;
+    }
+
+    /** A keyed request that may have run stays in the group of workers that drops its repeats. */
+    private boolean inDedupGroup(Job job, TrackedWorker worker) {
+        if (job.type.idempotency != Idempotency.KEYED || job.firstRun == null
+                || job.type.dedupScope == Contract.DedupScope.ALL) return true;
+        return job.type.dedupScope == Contract.DedupScope.ZONE ? worker.entry.zone == job.firstRun.entry.zone
+            : worker.entry.cell == job.firstRun.entry.cell;
+    }
+
+    /** The only place that sends; until an outcome proves otherwise, the attempt may have run. */
+    private void send(Job job, TrackedWorker worker, long now) {
+        job.lastWorker = worker;
+        job.attempts++;
+        job.startedUs = 0;
+        job.inFlight++;
+        job.firstRunUs = job.firstRun == null ? now : job.firstRunUs;
+        job.firstRun = job.firstRun == null ? worker : job.firstRun;
+        addOwnSlots(worker, job.slots, now);
+        host.send(job.request.id, worker.entry.id, 0);
+    }
+
+    /** Rejects what can't end before the shutdown, as other schedulers can take it; the rest continues. */
+    @Override public void shutdownStarted(long now, long shutdownAtUs) {
+        stopUs = shutdownAtUs;
+        for (Job job : new ArrayList<>(jobs.values())) {
+            if (job.done || job.streaming || !mayReject(job)) continue;
+            boolean ends = endsBeforeStop(job, job.inFlight > 0 && job.startedUs > 0 ? job.startedUs : now);
+            if (!ends) finish(job, EndReason.LEAVING, now);
+            else host.startTimer(token(DEADLINE, job.request.id), shutdownAtUs - now);
+        }
     }
 
-    /** Rule 2: a keyed request that may have run stays in the group that drops its repeats. */
-    private boolean inGroup(Job j, W w) {
-        if (j.in.idempotency != Idempotency.KEYED || j.firstRun == null || j.in.dedupScope == DedupScope.ALL) return true;
-        return j.in.dedupScope == DedupScope.ZONE ? w.e.zone == j.firstRun.e.zone : w.e.cell == j.firstRun.e.cell;
+    private boolean endsBeforeStop(Job job, long startUs) {
+        return stopUs == 0 || startUs + (long) (job.request.costHintUs * MIN_RUN_TIME) < stopUs;
     }
 
-    /** The one place that sends; until an outcome proves otherwise, the attempt may have run. */
-    private void send(Job j, W w, long now) {
-        j.last = w;
-        j.attempts++;
-        j.startedUs = 0;
-        j.out++;
-        j.firstRunUs = j.firstRun == null ? now : j.firstRunUs;
-        j.firstRun = j.firstRun == null ? w : j.firstRun;
-        count(w, j.slots, now);
-        host.send(j.r.id, w.e.id, 0);
+    @Override public void progressReported(long now, int requestId, int attempt, int workerId, double share) {
+        Job job = jobs.get(requestId);
+        if (job != null && attempt == job.attempts - 1 && job.startedUs == 0) job.startedUs = now;
     }
 
-    /** Jobs that can't end here in time are let go while others can take them; the rest goes on till then. */
-    @Override public void shutdownStarted(long now, long byUs) {
-        leaveUs = byUs;
-        for (Job j : new ArrayList<>(jobs.values())) {
-            if (j.done || j.bound || !mayRefuse(j)) continue;
-            boolean ends = endsHere(j, j.out > 0 && j.startedUs > 0 ? j.startedUs : now);
-            if (!ends) finish(j, EndReason.LEAVING, now);
-            else host.startTimer(token(GUARD, j.r.id), byUs - now);
-        }
+    /** The only place that ends a request without a result: rejected if a retry is harmless, else failed. */
+    private void finish(Job job, EndReason reason, long now) {
+        host.reportEndReason(job.request.id, reason);
+        rejectedUs = now;
+        long retryAfterUs = stopUs > 0 ? Math.min(SHUTDOWN_RETRY_US, settings.maxRetryAfterUs)
+            : settings.maxRetryAfterUs;
+        if (mayReject(job)) host.reject(job.request.id, settings.retryAfterAllowed ? retryAfterUs : 0);
+        else host.fail(job.request.id);
+        close(job);
     }
 
-    private boolean endsHere(Job j, long startUs) {
-        return leaveUs == 0 || startUs + (long) (j.r.costHintUs * BEST_PACE) < leaveUs;
-    }
-
-    @Override public void progressReported(long now, int requestId, int attempt, int workerId, double share) {
-        Job j = jobs.get(requestId);
-        if (j != null && attempt == j.attempts - 1 && j.startedUs == 0) j.startedUs = now;
-    }
-
-    /** The one place that ends a request: refused where a repeat is harmless, else failed. */
-    private void finish(Job j, EndReason reason, long now) {
-        host.reportEndReason(j.r.id, reason);
-        turnedUs = now;
-        long back = leaveUs > 0 ? Math.min(BACK_SOON_US, set.maxRetryAfterUs) : set.maxRetryAfterUs;
-        if (mayRefuse(j)) host.reject(j.r.id, set.retryAfterAllowed ? back : 0);
-        else host.fail(j.r.id);
-        close(j);
-    }
-
-    private void close(Job j) {
-        j.done = true;
-        // A job that ends while it probes leaves the list now: a struck worker's check never places it.
-        probing.remove(j);
-        for (int i = 0; set.cancelAllowed && i < j.attempts; i++) {
-            if (!j.back[i]) host.cancel(j.r.id, i);
-        }
-        if (j.out == 0) jobs.remove(j.r.id);
+    private void close(Job job) {
+        job.done = true;
+        // Removed now: place() never runs for it if its probed worker leaves the list before it responds.
+        probingJobs.remove(job);
+        for (int i = 0; settings.cancelAllowed && i < job.attempts; i++)
+            if (!job.ended[i]) host.cancel(job.request.id, i);
+        if (job.inFlight == 0) jobs.remove(job.request.id);
     }
 
     @Override public void attemptEnded(long now, int requestId, int attempt, int workerId, Outcome outcome,
-            long elapsedUs, boolean closed, Contract.Report report) {
-        W w = byId.get(workerId);
-        Job j = jobs.get(requestId);
-        if (w != null) {
-            judge(w, outcome, now);
-            noteFailure(w, outcome, now);
-            if (report != null) take(w, report, now);
+            long elapsedUs, boolean requestClosed, Contract.Report report) {
+        TrackedWorker worker = workersById.get(workerId);
+        Job job = jobs.get(requestId);
+        if (worker != null) {
+            updateEjection(worker, outcome, now);
+            updateFailureShare(worker, outcome, now);
+            if (report != null) applyReport(worker, report, now);
             if (outcome == Outcome.FULL) {
-                // A blocked call: full, whatever an older report says, until about two slots have freed up.
-                w.fullUntilUs = now + (long) Math.min(staleUs, 2 * serviceUs / slots(w));
-                heard(w, now, slots(w) * 1.1);
+                // Full regardless of older reports, until about two slots should have become free.
+                worker.fullUntilUs = now + (long) Math.min(reportAgeUs, 2 * serviceUs / slots(worker));
+                setBusy(worker, now, slots(worker) * 1.1);
             }
-            count(w, j == null ? 0 : -j.slots, now);
+            addOwnSlots(worker, job == null ? 0 : -job.slots, now);
         }
-        if (j == null) return;
-        j.out--;
-        j.back[attempt] = true;
+        if (job == null) return;
+        job.inFlight--;
+        job.ended[attempt] = true;
         if (outcome == Outcome.OK) {
             serviceUs = mean(serviceUs, elapsedUs);
-            double runUs = j.startedUs > 0 ? now - j.startedUs : elapsedUs;
-            double pace = runUs / (j.r.costHintUs > 0 ? j.r.costHintUs : serviceUs);
-            if (w != null && warmth(w, now) == 1) {
-                kindPace[w.e.kind] = (1 + kindPace[w.e.kind]) * mean(1, pace / pace(w)) - 1;
-                meanPace = mean(meanPace, pace);
+            double runUs = job.startedUs > 0 ? now - job.startedUs : elapsedUs;
+            double ratio = runUs / (job.request.costHintUs > 0 ? job.request.costHintUs : serviceUs);
+            if (worker != null && warmFraction(worker, now) == 1) {
+                extraRunByKind[worker.entry.kind] =
+                    (1 + extraRunByKind[worker.entry.kind]) * mean(1, ratio / runTime(worker)) - 1;
+                meanRun = mean(meanRun, ratio);
             }
         }
-        j.mayHaveRun |= !outcome.neverRan;
-        j.firstRun = j.out == 0 && !j.mayHaveRun ? null : j.firstRun;
-        if (closed || j.done) close(j);
-        else if (j.bound && j.out == 0) finish(j, EndReason.STREAM_OVER, now);
-        else if (!j.waiting && !j.bound) start(j, now);
+        job.mayHaveRun |= !outcome.neverRan;
+        job.firstRun = job.inFlight == 0 && !job.mayHaveRun ? null : job.firstRun;
+        if (requestClosed || job.done) close(job);
+        else if (job.streaming && job.inFlight == 0) finish(job, EndReason.STREAM_OVER, now);
+        else if (!job.waiting && !job.streaming) dispatch(job, now);
     }
 
-    /** A worker out of reach, or not well by its check, is set aside, longer each time, until it answers. */
-    private void judge(W w, Outcome outcome, long now) {
+    /** Ejects an unreachable or unhealthy worker, twice as long per failure, until it responds again. */
+    private void updateEjection(TrackedWorker worker, Outcome outcome, long now) {
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
-            w.failures = 0;
-            w.asideUntilUs = 0;
+            worker.failures = 0;
+            worker.ejectedUntilUs = 0;
         } else if (outcome != Outcome.ERROR && outcome != Outcome.CANCELLED && outcome != Outcome.MOOT) {
-            w.failures = Math.min(w.failures + 1, 10);
-            double jobsLong = Math.min(MOST_ASIDE, 1 << w.failures) * (0.5 + random.uniform());
-            w.asideUntilUs = now + (long) (serviceUs * jobsLong);
+            worker.failures = Math.min(worker.failures + 1, 10);
+            double serviceTimes = Math.min(MAX_EJECTION, 1 << worker.failures) * (0.5 + random.uniform());
+            worker.ejectedUntilUs = now + (long) (serviceUs * serviceTimes);
         }
     }
 
-    /** Departure: room counts by the share of jobs that end well there: a fast error is not free room. */
-    private void noteFailure(W w, Outcome outcome, long now) {
+    /** Unlike PSBU: free slots count by the share of jobs that succeed, as a fast error is not capacity. */
+    private void updateFailureShare(TrackedWorker worker, Outcome outcome, long now) {
         boolean failed = outcome == Outcome.ERROR || outcome == Outcome.TIMEOUT;
         if (!failed && outcome != Outcome.OK) return;
-        w.bad = failureShare(w, now) * (1 - FAILURE_GAIN) + (failed ? FAILURE_GAIN : 0);
-        w.badUs = now;
+        worker.failureShare = failureShare(worker, now) * (1 - FAILURE_GAIN) + (failed ? FAILURE_GAIN : 0);
+        worker.failedUs = now;
     }
 
-    private double failureShare(W w, long now) {
-        return w.bad == 0 ? 0 : w.bad * fade(now - w.badUs, FORGIVEN * serviceUs);
+    private double failureShare(TrackedWorker w, long now) {
+        return w.failureShare == 0 ? 0 : w.failureShare * fade(now - w.failedUs, FAILURE_MEMORY * serviceUs);
     }
 
     @Override public void streamStarted(long now, int requestId, int attempt) {
-        Job j = jobs.get(requestId);
-        if (j != null) j.bound = true;
+        Job job = jobs.get(requestId);
+        if (job != null) job.streaming = true;
     }
 
     @Override public void requestAbandoned(long now, int requestId) {
-        Job j = jobs.get(requestId);
-        if (j != null && !j.done) close(j);
+        Job job = jobs.get(requestId);
+        if (job != null && !job.done) close(job);
     }
 
-    // ---- what is known of a worker's load ----
-
     @Override public void probeEnded(long now, int workerId, Outcome outcome, long elapsedUs,
             Contract.Report report) {
-        W w = byId.get(workerId);
-        if (w == null) return;
-        w.checkOut = false;
-        judge(w, outcome == Outcome.ERROR ? Outcome.RESET : outcome, now);
+        TrackedWorker worker = workersById.get(workerId);
+        if (worker == null) return;
+        worker.probePending = false;
+        updateEjection(worker, outcome == Outcome.ERROR ? Outcome.RESET : outcome, now);
         if (outcome == Outcome.OK) probeUs = mean(probeUs, elapsedUs);
-        if (report != null) take(w, report, now);
-        for (int i = probing.size() - 1; i >= 0; i--) {
-            Job j = probing.get(i);
-            if (j.candidates.contains(w) && --j.probesOut == 0) place(j, now);
+        if (report != null) applyReport(worker, report, now);
+        for (int i = probingJobs.size() - 1; i >= 0; i--) {
+            Job job = probingJobs.get(i);
+            if (job.candidates.contains(worker) && --job.probesPending == 0) place(job, now);
         }
     }
 
-    private void take(W w, Contract.Report r, long now) {
-        if (r.freeSlots >= 0) {
-            kindSlots[w.e.kind] = Math.max(kindSlots[w.e.kind], r.freeSlots);
-            heard(w, now, slots(w) - r.freeSlots);
-        } else if (r.utilization >= 0) {
-            heard(w, now, slots(w) * Math.min(1, r.utilization));
+    private void applyReport(TrackedWorker worker, Contract.Report report, long now) {
+        if (report.freeSlots >= 0) {
+            slotsByKind[worker.entry.kind] = Math.max(slotsByKind[worker.entry.kind], report.freeSlots);
+            setBusy(worker, now, slots(worker) - report.freeSlots);
+        } else if (report.utilization >= 0) {
+            setBusy(worker, now, slots(worker) * Math.min(1, report.utilization));
         }
-        double load = r.utilization >= 0 ? r.utilization : r.outstanding;
-        // The same noisy figures again: not refreshed in between, so reports are at least this old.
-        boolean same = load == w.load && r.freeSlots == w.free && load != Math.rint(load) && !(r.utilization > 1);
-        if (same) staleUs += Math.max(0, now - w.figureUs - staleUs) * STALE_GAIN;
-        else w.figureUs = now;
-        w.errors = r.errorsPerS > 0 ? r.errorsPerS * serviceUs / 1e6 / slots(w) : 0;
-        w.load = load;
-        w.free = r.freeSlots;
-        if (r.serviceTimeMs > 0) {
-            w.serviceMs = r.serviceTimeMs;
-            meanMs = Double.isNaN(meanMs) ? r.serviceTimeMs : mean(meanMs, r.serviceTimeMs);
+        double load = report.utilization >= 0 ? report.utilization : report.outstanding;
+        // Equal measured values: reports are at least this old. Whole or saturated values may repeat anyway.
+        boolean same = load == worker.lastLoad && report.freeSlots == worker.lastFree
+            && load != Math.rint(load) && !(report.utilization > 1);
+        if (same) reportAgeUs += Math.max(0, now - worker.refreshedUs - reportAgeUs) * REPORT_AGE_GAIN;
+        else worker.refreshedUs = now;
+        worker.errorLevel = report.errorsPerS > 0 ? report.errorsPerS * serviceUs / 1e6 / slots(worker) : 0;
+        worker.lastLoad = load;
+        worker.lastFree = report.freeSlots;
+        if (report.serviceTimeMs > 0) {
+            worker.serviceMs = report.serviceTimeMs;
+            meanMs = Double.isNaN(meanMs) ? report.serviceTimeMs : mean(meanMs, report.serviceTimeMs);
         }
     }
 
-    /** The newest figure: so many slots were busy; what of them own jobs were when it was made comes off. */
-    private void heard(W w, long now, double busy) {
-        w.heardUs = now;
-        w.busy = Math.max(0, busy - Math.max(0, known(w, now) - recent(w, now)));
+    /** Stores the reported busy slots, less those that own jobs held when the report was made. */
+    private void setBusy(TrackedWorker w, long now, double busy) {
+        w.seenUs = now;
+        w.busy = Math.max(0, busy - Math.max(0, ownSlots(w, now) - unreported(w, now)));
     }
 
-    /** T of the design; workers of one kind are taken to be alike, as few of them are ever seen empty. */
-    private double slots(W w) {
-        return Math.max(1, kindSlots[w.e.kind]);
+    /** Total slots: the most seen free at any worker of this kind, as a worker is rarely seen empty. */
+    private double slots(TrackedWorker w) {
+        return Math.max(1, slotsByKind[w.entry.kind]);
     }
 
-    /** Departure: slots of own jobs are busy from send to end; reports tell of the others alone. */
-    private void count(W w, double slots, long now) {
-        w.out = Math.max(0, known(w, now) + slots);
-        w.recent = recent(w, now) + slots;
-        w.recentUs = now;
+    /** Unlike PSBU: own jobs hold slots from send to end; reports only count for other schedulers' jobs. */
+    private void addOwnSlots(TrackedWorker w, double slots, long now) {
+        w.own = Math.max(0, ownSlots(w, now) + slots);
+        w.unreported = unreported(w, now) + slots;
+        w.ownUs = now;
     }
 
-    /** Own jobs there; where slots are not told they fade as jobs end, or one would fill a worker. */
-    private double known(W w, long now) {
-        return kindSlots[w.e.kind] > 0 ? w.out : w.out * fade(now - w.recentUs, serviceUs);
+    /** Slots of own jobs; these decay if no slots are reported, or a worker of unknown size looks full. */
+    private double ownSlots(TrackedWorker w, long now) {
+        return slotsByKind[w.entry.kind] > 0 ? w.own : w.own * fade(now - w.ownUs, serviceUs);
     }
 
-    /** Own sends less own ends that no report can tell yet. */
-    private double recent(W w, long now) {
-        return w.recent * fade(now - w.recentUs, staleUs);
+    /** Change of own slots that is too recent to be part of a report. */
+    private double unreported(TrackedWorker w, long now) {
+        return w.unreported * fade(now - w.ownUs, reportAgeUs);
     }
 
-    /** Departure: an aging figure fades into the fleet's mean: a silent worker's last room stops drawing. */
-    private double busy(W w, long now) {
-        boolean unheard = Double.isNaN(w.busy);
-        w.fresh = unheard ? 0 : fade(now - w.heardUs + (long) (staleUs / 2), serviceUs);
-        double figure = unheard ? 0 : w.busy * w.fresh;
-        double own = known(w, now), mean = w.cold ? 0 : slots(w) * meanFill;
-        return figure + w.fresh * own + (1 - w.fresh) * Math.max(own, mean);
+    /** Unlike PSBU: an old report fades into the mean fill, so that a silent worker stops attracting jobs. */
+    private double busySlots(TrackedWorker worker, long now) {
+        boolean noReport = Double.isNaN(worker.busy);
+        worker.fresh = noReport ? 0 : fade(now - worker.seenUs + (long) (reportAgeUs / 2), serviceUs);
+        double reported = noReport ? 0 : worker.busy * worker.fresh;
+        double own = ownSlots(worker, now), mean = worker.cold ? 0 : slots(worker) * meanFill;
+        return reported + worker.fresh * own + (1 - worker.fresh) * Math.max(own, mean);
     }
 
-    // ---- the draw ----
-
-    /**
-     * Weights of workers for this job; their sum, or 0 when all read full (weights are then even). Departure:
-     * of a large fleet a part is weighed, another for each job; for keys, or where too few fit, all are.
-     */
-    private double weigh(Job j, long now) {
+    // Sets the weights for this job and returns their sum, or 0 if all are full and weights are uniform.
+    // Unlike PSBU, each attempt samples a large fleet anew, which bounds the cost; all workers are considered
+    // for keyed jobs and if too few in the sample are eligible.
+    private double computeWeights(Job job, long now) {
         int all = workers.size();
-        span = all > 2 * SAMPLE && j.r.key == 0 ? SAMPLE : all;
-        from = span < all ? (int) ((SplitMix.mix(8L * j.r.id + j.attempts ^ salt) >>> 33) % all) : 0;
-        double sum = weighSpan(j, now);
-        if (sum > 0 || span == all || fitting >= SAMPLE / 4) return sum;
-        span = all;
-        return weighSpan(j, now);
-    }
-
-    /** The place of the n-th worker of those weighed. */
-    private int at(int n) {
-        return from + n < workers.size() ? from + n : from + n - workers.size();
-    }
-
-    private double weighSpan(Job j, long now) {
-        fitting = 0;
-        boolean late = now > latestStart(j);
-        double sum = 0, errors = 0, fills = PRIOR * 0.5, trust = PRIOR;
-        for (int n = 0; n < span; n++) {
-            int i = at(n);
-            W w = workers.get(i);
-            weight[i] = 0;
-            if (!w.ready) continue;
-            double total = slots(w), room = total - busy(w, now);
-            fills += w.fresh > 0 ? w.fresh * Math.min(1, (w.busy + w.out) / total) : 0;
-            trust += w.fresh;
-            errors += w.errors * w.fresh;
-            if (w.cold || !fits(j, w)) continue;
-            fitting++;
-            if (now < w.asideUntilUs || now < w.fullUntilUs) continue;
-            // Departure: one whose reports tell of errors, more than the others' do, is left out.
-            if (w.errors * w.fresh > Math.max(ERRING, 1.5 * meanErrors)) continue;
-            // Departure: a job needs the room that it takes; late work leaves a reserve to what is in time.
-            room -= late ? RESERVE * total : 0;
-            if (room < LEAST_ROOM * Math.min(1, 4 * w.fresh * w.fresh)) continue;
-            room = Math.max(room - (j.slots - 1), room * 0.1);
-            // Departure: room counts by the worker's speed as reports tell it, else by its kind's as seen.
-            room *= Math.min(2, w.serviceMs > 0 ? meanMs / w.serviceMs : meanPace / pace(w));
-            room *= failureShare(w, now) < EXCUSED ? 1 : 1 - failureShare(w, now);
-            // Departure: a job goes where its run can still end in time: slow cores outlast some clients.
-            room *= now + j.r.costHintUs * pace(w) > j.aimUs ? TOO_SLOW : 1;
-            weight[i] = Math.max(0, room * home(w));
-            sum += weight[i];
+        sampleSize = all > 2 * SAMPLE_SIZE && job.request.key == 0 ? SAMPLE_SIZE : all;
+        sampleStart = sampleSize < all
+            ? (int) ((SplitMix.mix(8L * job.request.id + job.attempts ^ sampleSalt) >>> 33) % all) : 0;
+        double sum = weighSample(job, now);
+        if (sum > 0 || sampleSize == all || eligibleCount >= SAMPLE_SIZE / 4) return sum;
+        sampleSize = all;
+        return weighSample(job, now);
+    }
+
+    /** The index in {@link #workers} of the n-th worker of the sample, which wraps around at the end. */
+    private int indexOf(int n) {
+        return sampleStart + n < workers.size() ? sampleStart + n : sampleStart + n - workers.size();
+    }
+
+    private double weighSample(Job job, long now) {
+        eligibleCount = 0;
+        boolean late = now > latestStart(job);
+        double sum = 0, errors = 0, fills = FILL_PRIOR * 0.5, trust = FILL_PRIOR;
+        for (int n = 0; n < sampleSize; n++) {
+            int i = indexOf(n);
+            TrackedWorker worker = workers.get(i);
+            weights[i] = 0;
+            if (!worker.ready) continue;
+            double total = slots(worker), free = total - busySlots(worker, now);
+            fills += worker.fresh > 0 ? worker.fresh * Math.min(1, (worker.busy + worker.own) / total) : 0;
+            trust += worker.fresh;
+            errors += worker.errorLevel * worker.fresh;
+            if (worker.cold || !fits(job, worker)) continue;
+            eligibleCount++;
+            if (now < worker.ejectedUntilUs || now < worker.fullUntilUs) continue;
+            // Unlike PSBU: a worker that reports many errors, and more than the others, is left out.
+            if (worker.errorLevel * worker.fresh > Math.max(MAX_ERROR_LEVEL, 1.5 * meanErrors)) continue;
+            // Unlike PSBU: a job needs all its slots, and late jobs leave a reserve for those in time.
+            free -= late ? LATE_RESERVE * total : 0;
+            if (free < MIN_FREE_SLOTS * Math.min(1, 4 * worker.fresh * worker.fresh)) continue;
+            free = Math.max(free - (job.slots - 1), free * 0.1);
+            // Unlike PSBU: free slots count by the worker's speed as reported, else as seen for its kind.
+            free *= Math.min(2, worker.serviceMs > 0 ? meanMs / worker.serviceMs : meanRun / runTime(worker));
+            free *= failureShare(worker, now) < TOLERATED_FAILURES ? 1 : 1 - failureShare(worker, now);
+            // Unlike PSBU: prefers workers that end the job in time, as slow cores outlast some clients.
+            free *= now + job.request.costHintUs * runTime(worker) > job.dueUs ? LATE_FINISH_WEIGHT : 1;
+            weights[i] = Math.max(0, free * zoneWeight(worker));
+            sum += weights[i];
         }
         meanFill = fills / trust;
         meanErrors = errors / trust;
-        if (sum > 0) return j.r.key == 0 ? sum : byKey(j.r.key);
-        for (int n = 0; n < span; n++) {
-            int i = at(n);
-            W w = workers.get(i);
-            weight[i] = !w.ready || w.cold || !fits(j, w) ? 0 : home(w) * (now < w.asideUntilUs ? 0.01 : 1);
+        if (sum > 0) return job.request.key == 0 ? sum : applyKeyAffinity(job.request.key);
+        for (int n = 0; n < sampleSize; n++) {
+            int i = indexOf(n);
+            TrackedWorker worker = workers.get(i);
+            weights[i] = !worker.ready || worker.cold || !fits(job, worker) ? 0
+                : zoneWeight(worker) * (now < worker.ejectedUntilUs ? 0.01 : 1);
         }
         return 0;
     }
 
-    /** Departure: room abroad counts for less where crossing costs. */
-    private double home(W w) {
-        return w.e.zone == set.zone || set.crossZonePrice <= 0 ? 1 : ABROAD;
+    /** Unlike PSBU: free slots in other zones count less where crossing zones has a price. */
+    private double zoneWeight(TrackedWorker w) {
+        return w.entry.zone == settings.zone || settings.crossZonePrice <= 0 ? 1 : REMOTE_ZONE_WEIGHT;
     }
 
-    /** The worker can run the job, may by rule 2, and is not the one that just failed to. */
-    private boolean fits(Job j, W w) {
-        return (j.in.requiredKind < 0 || j.in.requiredKind == w.e.kind)
-            && (j.attempts == 0 || inGroup(j, w) && j.last != w)
-            && (j.slots <= 1 || j.slots <= slots(w) + 0.5 || kindSlots[w.e.kind] <= 1);
+    /** True if the worker can run the job, a retry is safe there, and it did not run the last attempt. */
+    private boolean fits(Job job, TrackedWorker worker) {
+        return (job.type.requiredKind < 0 || job.type.requiredKind == worker.entry.kind)
+            && (job.attempts == 0 || inDedupGroup(job, worker) && job.lastWorker != worker)
+            && (job.slots <= 1 || job.slots <= slots(worker) + 0.5 || slotsByKind[worker.entry.kind] <= 1);
     }
 
-    /**
-     * Departure: where jobs carry keys, room counts by the chance that the worker holds what the key needs:
-     * full at the first worker by a hash of key and id, the same at every dispatcher, less at each next one.
-     */
-    private double byKey(long key) {
+    // Unlike PSBU: for keyed jobs free slots count by the chance that the worker holds what the key needs.
+    // All schedulers rank workers by the same hash of key and id; each next one counts less.
+    private double applyKeyAffinity(long key) {
         List<Integer> order = new ArrayList<>();
-        for (int i = 0; i < workers.size(); i++) if (weight[i] > 0) order.add(i);
+        for (int i = 0; i < workers.size(); i++) if (weights[i] > 0) order.add(i);
         order.sort(Comparator.comparing(i -> -SplitMix.mix(key ^ workers.get(i).hash)));
         double sum = 0, chance = 1;
         for (int i : order) {
-            sum += weight[i] *= chance;
-            chance *= NEXT_BY_KEY;
+            sum += weights[i] *= chance;
+            chance *= NEXT_KEY_WEIGHT;
         }
         return sum;
     }
 
-    /** Place of a worker drawn in proportion to the weights; -1 if all are 0. */
-    private int draw() {
+    /** Picks the index of a worker at random in proportion to the weights; -1 if all are 0. */
+    private int pick() {
         double sum = 0;
-        for (int n = 0; n < span; n++) sum += weight[at(n)];
-        double at = random.uniform() * sum;
+        for (int n = 0; n < sampleSize; n++) sum += weights[indexOf(n)];
+        double left = random.uniform() * sum;
         int last = -1;
-        for (int n = 0; n < span && at >= 0; n++) {
-            int i = at(n);
-            if (weight[i] <= 0) continue;
+        for (int n = 0; n < sampleSize && left >= 0; n++) {
+            int i = indexOf(n);
+            if (weights[i] <= 0) continue;
             last = i;
-            at -= weight[i];
+            left -= weights[i];
         }
         return last;
     }
 
-    private void check(W w) {
-        if (!w.checkOut) host.probe(w.e.id);
-        w.checkOut = true;
+    private void probe(TrackedWorker worker) {
+        if (!worker.probePending) host.probe(worker.entry.id);
+        worker.probePending = true;
     }
 
-    /** Next check 1 / (fill x alpha) after the newest figure; alpha spends what checks may cost. */
-    private void checkDue(W w, long now) {
+    /** Probes a worker 1 / (fill x alpha) after its newest report; alpha is what the probe budget allows. */
+    private void probeIfDue(TrackedWorker worker, long now) {
         double rate = arrivals * fade(now - arrivalsUs, RATE_WINDOW_S * 1e6) / RATE_WINDOW_S;
-        double perS = checksPerRequest * rate * (believed(null) ? TIMED_SHARE : 1);
-        double alpha = Math.max(FLOOR_ALPHA, perS / workers.size() / Math.max(meanFill, FLOOR_FILL));
-        double u = Double.isNaN(w.busy) ? 1 : Math.min(1, (w.busy + w.out) / slots(w));
-        double gap = Math.max(LEAST_GAP_US, 1e6 / (Math.max(FLOOR_FILL, u) * alpha));
-        gap *= 0.75 + random.uniform() / 2;
-        double left = Math.max(w.heardUs, w.figureUs) + gap - now;
-        if (left <= set.tickUs && w.ready) {
-            if (checksOn) check(w);
-            left = gap;
+        double perS = probesPerJob * rate * (reportsFresh(null) ? PERIODIC_PROBE_SHARE : 1);
+        double alpha = Math.max(MIN_ALPHA, perS / workers.size() / Math.max(meanFill, MIN_FILL));
+        double fill = Double.isNaN(worker.busy) ? 1 : Math.min(1, (worker.busy + worker.own) / slots(worker));
+        double gapUs = Math.max(MIN_PROBE_GAP_US, 1e6 / (Math.max(MIN_FILL, fill) * alpha));
+        gapUs *= 0.75 + random.uniform() / 2;
+        double leftUs = Math.max(worker.seenUs, worker.refreshedUs) + gapUs - now;
+        if (leftUs <= settings.tickUs && worker.ready) {
+            if (probesOn) probe(worker);
+            leftUs = gapUs;
         }
-        host.startTimer(token(CHECK, w.e.id), (long) Math.max(left, set.tickUs));
+        host.startTimer(token(PROBE_AGAIN, worker.entry.id), (long) Math.max(leftUs, settings.tickUs));
     }
 
     @Override public void timerExpired(long now, long token) {
-        int id = (int) (token >> 3), what = (int) (token & 7);
-        if (what == CHECK && byId.containsKey(id)) checkDue(byId.get(id), now);
-        if (what == WATCH && !watching) host.watchWorkerList(watching = true);
-        Job j = what == WATCH || what == CHECK ? null : jobs.get(id);
-        if (j == null || j.done || j.bound) return;
-        // The guard is against a request that is held here, or out on a worker that never answers.
-        if (what == GUARD) finish(j, leaveUs > 0 ? EndReason.LEAVING : EndReason.OUT_OF_TIME, now);
-        else if (what == PROBED && j.candidates != null) place(j, now);
-        else if (what == AGAIN && j.waiting && j.candidates == null) start(j, now);
-    }
-
-    private static long token(int what, int id) {
-        return (id & 0xffffffffL) << 3 | what;
+        int id = (int) (token >> 3), kind = (int) (token & 7);
+        if (kind == PROBE_AGAIN && workersById.containsKey(id)) probeIfDue(workersById.get(id), now);
+        if (kind == WATCH && !watching) host.watchWorkerList(watching = true);
+        Job job = kind == WATCH || kind == PROBE_AGAIN ? null : jobs.get(id);
+        if (job == null || job.done || job.streaming) return;
+        // Also ends requests that wait here, or whose worker never responds.
+        if (kind == DEADLINE) finish(job, stopUs > 0 ? EndReason.LEAVING : EndReason.OUT_OF_TIME, now);
+        else if (kind == PROBES_DUE && job.candidates != null) place(job, now);
+        else if (kind == RETRY && job.waiting && job.candidates == null) dispatch(job, now);
+    }
+
+    private static long token(int kind, int id) {
+        return (id & 0xffffffffL) << 3 | kind;
     }
 }
--- a/core/src/main/java/hookweir/SplitMix.java
+++ b/core/src/main/java/hookweir/SplitMix.java
@@ -1,13 +1,13 @@
 package hookweir;
 
 /**
- * A stream of random numbers from a seed, the same at every run (SplitMix64; Steele, Lea and Flood 2014). The algorithm is fixed here
- * rather than left to a library, as a recorded day is only played again alike if the draws stay the same.
+ * A pseudo-random number generator (SplitMix64; Steele, Lea and Flood 2014). It is implemented here rather than taken from a library,
+ * because replaying a recording requires the same sequence for a seed in every version.
  */
 final class SplitMix {
-    private static final long GAMMA = 0x9e3779b97f4a7c15L;
-    private static final int UNUSED_BITS = 11;
-    private static final double UNIT = 0x1.0p-53;
+    private static final long INCREMENT = 0x9e3779b97f4a7c15L;
+    private static final int DROPPED_BITS = 11;
+    private static final double TWO_TO_MINUS_53 = 0x1.0p-53;
 
     private long state;
 
@@ -15,17 +15,17 @@
         state = seed;
     }
 
-    /** In [0, 1). */
+    /** Returns the next number, uniformly distributed in [0, 1). */
     double uniform() {
-        state += GAMMA;
-        return (mix(state) >>> UNUSED_BITS) * UNIT;
+        state += INCREMENT;
+        return (mix(state) >>> DROPPED_BITS) * TWO_TO_MINUS_53;
     }
 
-    /** A hash of the value: every bit of it changes about half of the result's. */
+    /** Hashes a value; each input bit affects about half of the output bits. */
     static long mix(long value) {
-        long z = value + GAMMA;
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long hash = value + INCREMENT;
+        hash = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ hash >>> 27) * 0x94d049bb133111ebL;
+        return hash ^ hash >>> 31;
     }
 }
--- a/core/src/test/java/hookweir/ColdBudgetTest.java
+++ b/core/src/test/java/hookweir/ColdBudgetTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Half of a fleet comes back cold at once, under a burst: what all dispatchers together send to each cold worker stays within its
- * budget, N + 2 roots of N + 2 requests of mean work in any window, below 30 N + 3 roots of N + 3.
+ * Half of a fleet restarts at once, under high load: the work that all schedulers together send to each cold worker stays within its
+ * budget in any window. With N requests of mean work as the collapse load, the budget is N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 if
+ * N is below 30.
  */
 final class ColdBudgetTest {
     private static final long STEP_US = 5_000;
@@ -25,7 +26,7 @@
     private static final int SLOTS = 3;
     private static final int SMALL_BUDGET = 30;
 
-    /** A job's end at a worker. */
+    /** The end of a job at a worker. */
     private record End(long atUs, long sentUs, int dispatcher, int request, int worker) implements Comparable<End> {
         @Override
         public int compareTo(End other) {
@@ -37,11 +38,11 @@
     private record Sent(long atUs, double work) {
     }
 
-    /** Dispatchers, workers and their clients in simulated time. */
+    /** Schedulers, workers and clients in simulated time. */
     private static final class World {
         private final Contract.Settings settings;
         private final Random random;
-        private final List<RecordingHost> dispatchers = new ArrayList<>();
+        private final List<RecordingHost> schedulers = new ArrayList<>();
         private final List<Deque<Sent>> sent = new ArrayList<>();
         private final PriorityQueue<End> ends = new PriorityQueue<>();
         private final int[] busy;
@@ -53,11 +54,11 @@
         private int requests;
         private double maxBudgetUse = Double.NEGATIVE_INFINITY;
 
-        World(int dispatcherCount, int workers, double coldShare, long seed) {
+        World(int schedulerCount, int workers, double coldShare, long seed) {
             this.workers = workers;
             random = new Random(seed);
             settings = RecordingHost.probingSettings(Idempotency.IDEMPOTENT);
-            settings.schedulerCount = dispatcherCount;
+            settings.schedulerCount = schedulerCount;
             settings.coldCapacityShare = coldShare;
             settings.collapseLoadFactor = 3;
             settings.collapseAfterUs = 1_000_000;
@@ -65,27 +66,27 @@
             settings.classes.get(0).softDeadlineStretch = 2;
             settings.classes.get(0).deadlineUs = 8_000_000;
             busy = new int[workers];
-            sendsSeen = new int[dispatcherCount];
-            probesSeen = new int[dispatcherCount];
+            sendsSeen = new int[schedulerCount];
+            probesSeen = new int[schedulerCount];
             for (int i = 0; i < workers; i++) {
                 sent.add(new ArrayDeque<>());
             }
             Contract.Worker[] fleet = RecordingHost.workers(workers);
-            for (int d = 0; d < dispatcherCount; d++) {
+            for (int d = 0; d < schedulerCount; d++) {
                 RecordingHost h = RecordingHost.with(settings, seed * 1000 + d);
                 h.replaceWorkers(fleet);
                 for (int w = 0; w < workers; w++) {
                     h.reportFreeSlots(w, SLOTS);
                 }
-                dispatchers.add(h);
+                schedulers.add(h);
             }
-            startUs = dispatchers.get(0).now;
+            startUs = schedulers.get(0).now;
             Contract.Worker[] cold = new Contract.Worker[workers / 2];
             for (int w = 0; w < cold.length; w++) {
                 cold[w] = RecordingHost.worker(w);
                 cold[w].startedAtUs = startUs;
             }
-            dispatchers.forEach(h -> h.changeWorkers(cold));
+            schedulers.forEach(h -> h.changeWorkers(cold));
         }
 
         private double warmFraction(int worker, long now) {
@@ -93,15 +94,15 @@
             return !cold ? 1 : settings.coldCapacityShare + (1 - settings.coldCapacityShare) * (now - startUs) / settings.warmUpUs;
         }
 
-        /** Jobs come at so many times what the warm fleet can do. */
+        /** Runs the simulation at this load, as a multiple of the capacity of the warm fleet. */
         void run(double load) {
             double perStep = load * workers * SLOTS * STEP_US / MEAN_WORK_US;
             for (long now = startUs; now < startUs + LENGTH_US; now += STEP_US) {
                 for (int jobs = poisson(perStep); jobs > 0; jobs--) {
-                    submitRequest(random.nextInt(dispatchers.size()));
+                    submitRequest(random.nextInt(schedulers.size()));
                 }
-                for (int d = 0; d < dispatchers.size(); d++) {
-                    dispatchers.get(d).advance(STEP_US);
+                for (int d = 0; d < schedulers.size(); d++) {
+                    schedulers.get(d).advance(STEP_US);
                     respondToProbes(d);
                     processSends(d);
                 }
@@ -118,7 +119,7 @@
         }
 
         private void submitRequest(int d) {
-            RecordingHost h = dispatchers.get(d);
+            RecordingHost h = schedulers.get(d);
             Contract.Request r = h.newRequest(requests, settings);
             r.costHintUs = (long) (MEAN_WORK_US * Math.exp(SPREAD * random.nextGaussian() - SPREAD * SPREAD / 2));
             works[requests++] = r.costHintUs;
@@ -126,7 +127,7 @@
         }
 
         private void respondToProbes(int d) {
-            RecordingHost h = dispatchers.get(d);
+            RecordingHost h = schedulers.get(d);
             for (; probesSeen[d] < h.probes.size(); probesSeen[d]++) {
                 int w = h.probes.get(probesSeen[d]);
                 h.reportFreeSlots(w, Math.max(0, SLOTS - busy[w]));
@@ -134,7 +135,7 @@
         }
 
         private void processSends(int d) {
-            RecordingHost h = dispatchers.get(d);
+            RecordingHost h = schedulers.get(d);
             for (; sendsSeen[d] < h.actions.size(); sendsSeen[d]++) {
                 String[] action = h.actions.get(sendsSeen[d]).split(" ");
                 if (action[0].equals("send")) {
@@ -155,7 +156,8 @@
             while (window.peek().atUs < now - settings.collapseAfterUs) {
                 window.poll();
             }
-            double n = settings.collapseLoadFactor * SLOTS * warmFraction(worker, Math.max(startUs, now - settings.collapseAfterUs)) * settings.collapseAfterUs / MEAN_WORK_US;
+            double n = settings.collapseLoadFactor * SLOTS * warmFraction(worker, Math.max(startUs, now - settings.collapseAfterUs))
+                * settings.collapseAfterUs / MEAN_WORK_US;
             double budget = n < SMALL_BUDGET ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
             maxBudgetUse = Math.max(maxBudgetUse, window.stream().mapToDouble(Sent::work).sum() / budget);
         }
@@ -164,7 +166,7 @@
             while (!ends.isEmpty() && ends.peek().atUs <= now) {
                 End e = ends.poll();
                 busy[e.worker]--;
-                dispatchers.get(e.dispatcher).policy.attemptEnded(now, e.request, 0, e.worker, Outcome.OK, now - e.sentUs, true, null);
+                schedulers.get(e.dispatcher).policy.attemptEnded(now, e.request, 0, e.worker, Outcome.OK, now - e.sentUs, true, null);
             }
         }
     }
@@ -172,14 +174,14 @@
     @ParameterizedTest
     @CsvSource({"1, 10, 0.7, 0.16", "1, 10, 1.6, 0.05", "4, 10, 0.7, 0.16", "4, 10, 1.6, 0.05", "30, 30, 0.7, 0.05", "30, 30, 1.6, 0.05", "30, 30, 1.6, 0.16",
         "30, 30, 2.3, 0.05", "30, 30, 2.3, 0.16", "120, 60, 1.0, 0.16", "120, 60, 2.3, 0.16"})
-    void workSentToColdWorkersStaysWithinBudget(int dispatchers, int workers, double load, double coldShare) {
+    void workSentToColdWorkersStaysWithinBudget(int schedulers, int workers, double load, double coldShare) {
         double most = 0;
         for (long seed = 1; seed <= 3; seed++) {
-            World world = new World(dispatchers, workers, coldShare, seed);
+            World world = new World(schedulers, workers, coldShare, seed);
             world.run(load);
             most = Math.max(most, world.maxBudgetUse);
         }
-        assertTrue(most <= 1, "of a budget: " + most);
-        assertTrue(most > 0.1, "cold workers get work: " + most);
+        assertTrue(most <= 1, "share of the budget: " + most);
+        assertTrue(most > 0.1, "share of the budget, as cold workers get work: " + most);
     }
 }
--- a/core/src/test/java/hookweir/EmbeddingExampleTest.java
+++ b/core/src/test/java/hookweir/EmbeddingExampleTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The example of README.md, kept compiling. */
+/** Compiles and runs the example of README.md. */
 class EmbeddingExampleTest {
     @Test
     void example() {
--- a/core/src/test/java/hookweir/LargeFleetTest.java
+++ b/core/src/test/java/hookweir/LargeFleetTest.java
@@ -8,7 +8,7 @@
 import hookweir.Contract.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** A part of a large fleet is weighed for each job: the shares over many jobs are those of the whole. */
+/** Each job considers only a sample of a large fleet: the shares over many jobs are those of the whole fleet. */
 class LargeFleetTest {
     private static final int WORKERS = 1000;
     private static final int JOBS = 20_000;
@@ -57,7 +57,7 @@
         }
         assertEquals(0.8, roomy / (double) JOBS, 0.06); // 500 workers of 8 slots, 250 of 4, 250 of none
         assertEquals(0.2, half / (double) JOBS, 0.06);
-        assertTrue(full < JOBS / 100, "to full workers " + full);
+        assertTrue(full < JOBS / 100, "sent to full workers: " + full);
     }
 
     @Test
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Four of a thousand can do this class: no part may hold one, and then all are looked through. */
+    /** Four of a thousand workers can run this class: a sample may contain none of them, and then all workers are considered. */
     @Test
     void findsTheFewEligibleWorkers() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
@@ -90,7 +90,7 @@
         return fleet;
     }
 
-    /** Which of 20 workers get jobs: as a bit each. */
+    /** The workers, of 20, that get jobs, as a bit mask. */
     private static int workersReached(RecordingHost h, Contract.Settings s, int firstJob) {
         int bits = 0;
         for (int id = firstJob; id < firstJob + FEW_JOBS; id++) {
@@ -103,7 +103,7 @@
         return bits;
     }
 
-    /** A list that shrinks by half and comes back: nobody who left it gets a job, and all who came back do. */
+    /** The list shrinks by half and recovers: removed workers get no jobs, and all that return do. */
     @Test
     void followsAListThatShrinksByHalfAndRecovers() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
@@ -116,7 +116,7 @@
         assertEquals(0xfffff, workersReached(h, s, 2_001));
     }
 
-    /** Six in ten names go and as many new ones come within a second; a job out at one that went is told of its end all the same. */
+    /** Six in ten workers are replaced within a second; the end of an attempt at a removed worker is still delivered. */
     @Test
     void sixOfTenWorkersReplacedWithinASecond() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
@@ -131,7 +131,7 @@
             h.changeWorkers(w, worker(13 + gone));
         }
         h.policy.attemptEnded(h.now, 9_999, 0, first, Outcome.RESET, 700_000, false, null);
-        assertTrue(h.sentTo.get(1) >= 7 && h.sentTo.get(1) != first, "again at " + h.sentTo.get(1));
+        assertTrue(h.sentTo.get(1) >= 7 && h.sentTo.get(1) != first, "second attempt at " + h.sentTo.get(1));
         assertEquals(0xfff80 & ~(1 << 12), workersReached(h, s, 1));
     }
 }
--- a/core/src/test/java/hookweir/ListCallTimingTest.java
+++ b/core/src/test/java/hookweir/ListCallTimingTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When the list service is called: soon enough for its news, and not by all schedulers at once. */
+/** When schedulers call the list service: soon enough to be notified in time, and not all at once. */
 final class ListCallTimingTest {
     private static final int SCHEDULERS = 120;
     private static final long STEP_US = 5_000;
-    /** Two calls have to fit between the list service's return and its news counting as told. */
+    /** Two calls have to fit between the list service's recovery and the time when schedulers count as notified. */
     private static final long MAX_PAUSE_US = 750_000;
 
-    private static Contract.Settings pollSettings(int dispatchers) {
+    private static Contract.Settings pollSettings(int schedulers) {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.pollList = true;
         s.maxPollIntervalUs = 10_000_000;
-        s.schedulerCount = dispatchers;
+        s.schedulerCount = schedulers;
         return s;
     }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A service that has too many callers is not helped by as many calls again at once: the pauses grow with the number of schedulers. */
+    /** Immediate repeats don't help an overloaded service: the pauses grow with the number of schedulers. */
     @Test
     void manySchedulersPauseForLonger() {
         RecordingHost h = RecordingHost.with(pollSettings(SCHEDULERS), 8);
@@ -65,7 +65,7 @@
         assertEquals(1, h.countActions("watch true"));
     }
 
-    /** The list service answers calls in turn: of 120 that start in one instant no 50 ms bring a twelfth, and none waits for 2.4 s. */
+    /** The list service handles calls one by one: of 120 schedulers started at once, all call within 2.4 s, less than a twelfth in 50 ms. */
     @Test
     void firstCallsOfAllThatStartAtOnceAreSpread() {
         List<RecordingHost> hosts = startedHosts(pollSettings(SCHEDULERS));
@@ -90,25 +90,25 @@
     }
 
     /**
-     * Schedulers that all start at once, or all lose their watches at once, at a list service that works through calls in turn, those
-     * too whose callers gave up: the calls don't keep it busy for nobody. Seven in ten of 100 were without a list for 20 s (incident 1).
+     * All schedulers start at once, or lose their watches at once, and the list service handles calls one by one, even those that have
+     * timed out: it must not be kept busy with these. In incident 1, 70 of 100 schedulers were without a list for 20 s.
      */
     @ParameterizedTest
     @CsvSource({"100, 17, 12", "120, 17, 18", "30, 8, 8", "5, 3, 4", "1, 3, 2"})
-    void allReceiveTheListInTime(int dispatchers, int callsPerS, int withinS) {
-        QueueingListService service = new QueueingListService(startedHosts(pollSettings(dispatchers)), callsPerS);
+    void allReceiveTheListInTime(int schedulers, int callsPerS, int withinS) {
+        QueueingListService service = new QueueingListService(startedHosts(pollSettings(schedulers)), callsPerS);
         service.run(withinS * 1_000_000L);
-        assertEquals(dispatchers, service.openWatches(), "after a start");
+        assertEquals(schedulers, service.openWatches(), "after a start");
         service.loseAllWatches();
         service.run(withinS * 1_000_000L);
-        assertEquals(dispatchers, service.openWatches(), "after all watches were lost");
+        assertEquals(schedulers, service.openWatches(), "after all watches were lost");
     }
 
-    /** An outage after which all call within some seconds. */
+    /** All schedulers call again within some seconds after an outage. */
     @ParameterizedTest
     @CsvSource({"100, 17, 12", "30, 8, 10", "5, 3, 4"})
-    void allReceiveTheListInTimeAfterAnOutage(int dispatchers, int callsPerS, int withinS) {
-        QueueingListService service = new QueueingListService(startedHosts(pollSettings(dispatchers)), callsPerS);
+    void allReceiveTheListInTimeAfterAnOutage(int schedulers, int callsPerS, int withinS) {
+        QueueingListService service = new QueueingListService(startedHosts(pollSettings(schedulers)), callsPerS);
         service.run(20_000_000);
         service.loseAllWatches();
         service.down(true);
@@ -116,6 +116,6 @@
         assertEquals(0, service.openWatches());
         service.down(false);
         service.run(withinS * 1_000_000L);
-        assertEquals(dispatchers, service.openWatches());
+        assertEquals(schedulers, service.openWatches());
     }
 }
--- a/core/src/test/java/hookweir/ManySchedulersTest.java
+++ b/core/src/test/java/hookweir/ManySchedulersTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What each of many dispatchers does for itself, summed over all; and what one that sees few requests knows at once. */
+/** The total effect of many independent schedulers, and what a scheduler with few requests can know early. */
 final class ManySchedulersTest {
     private static final int SCHEDULERS = 14;
     private static final int WORKERS = 60;
@@ -28,14 +28,14 @@
 
     @Test
     void notEverySchedulerProbesEveryWorkerAtStart() {
-        int checks = 0;
+        int probes = 0;
         for (int d = 0; d < SCHEDULERS; d++) {
             RecordingHost h = RecordingHost.with(probingSettings(Idempotency.IDEMPOTENT), 100 + d);
             h.replaceWorkers(workers(WORKERS));
             h.advance(5_000_000);
-            checks += h.probes.size();
+            probes += h.probes.size();
         }
-        assertTrue(checks < SCHEDULERS * WORKERS / 4, checks + " checks of " + WORKERS + " idle workers in 5 s");
+        assertTrue(probes < SCHEDULERS * WORKERS / 4, probes + " probes of " + WORKERS + " idle workers in 5 s");
     }
 
     @Test
@@ -50,19 +50,19 @@
             h.reportFreeSlots(1, 4);
             h.reportFreeSlots(2, 4);
             Contract.Request r = h.newRequest(1, s);
-            r.costHintUs = 3_000_000; // twice as long on the slow kind: 6 s, and 5.5 s are wanted
+            r.costHintUs = 3_000_000; // twice as long on the slow kind: 6 s, with a soft deadline of 5.5 s
             h.policy.requestAccepted(h.now, r);
             fast += h.sentTo.get(0) == 1 ? 1 : 0;
         }
         assertTrue(fast > 0.9 * SEEDS, "sent to the fast kind: " + fast + " of " + SEEDS);
     }
 
-    /** Shares of jobs that go to a cold worker nobody has heard, beside a warm one that is full. */
+    /** Share of jobs sent to a cold worker without a report, beside a warm one that is full. */
     private static double shareToColdWorker(long hintUs, long afterUs) {
         return shareToColdWorker(hintUs, afterUs, 1);
     }
 
-    /** After so many jobs that are too long for it. */
+    /** The same after a number of jobs that are too long for the cold worker. */
     private static double shareToColdWorker(long hintUs, long afterUs, int longJobs) {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.coldCapacityShare = 0.25;
@@ -77,7 +77,7 @@
             h.reportFreeSlots(1, 0);
             for (int job = 1; job <= longJobs; job++) {
                 Contract.Request before = h.newRequest(job, s);
-                before.costHintUs = 800_000; // too long for the cold one: held, and the fleet known to be full
+                before.costHintUs = 800_000; // too long for the cold worker: it waits, and the fleet is known to be full
                 h.policy.requestAccepted(h.now, before);
             }
             h.sentTo.clear();
@@ -91,12 +91,12 @@
 
     @Test
     void aColdWorkerWithoutReportsGetsItsShareWhileOthersAreFull() {
-        // A third more than its capacity, where twice as much would push it over; no long jobs go there.
+        // A third more than its capacity, where twice as much would make it collapse; no long jobs are sent there.
         assertEquals(0.25, shareToColdWorker(100_000, 0), 0.06); // 0.25 * 1.34 of 1.335
         assertEquals(0.456, shareToColdWorker(100_000, 5_000_000), 0.07); // 0.625 * 1.34 of 1.84
     }
 
-    /** Else it idles while short jobs are turned away: most of the work is not for it, so it takes more of what is. */
+    /** If most of the work is too long for a cold worker, it would idle while short jobs are rejected, so it gets more of these. */
     @Test
     void aColdWorkerGetsMoreShortJobsIfMostAreTooLong() {
         assertEquals(0.53, shareToColdWorker(100_000, 0, 80), 0.08); // 0.25 * 4.5 of 2.125
@@ -104,11 +104,11 @@
 
     @Test
     void aColdWorkerGetsNoJobThatItWouldFinishLate() {
-        assertEquals(0, shareToColdWorker(300_000, 0)); // four times as long: 1.2 s of 1 s
+        assertEquals(0, shareToColdWorker(300_000, 0)); // takes four times as long: 1.2 s, with a soft deadline of 1 s
         assertTrue(shareToColdWorker(300_000, 5_000_000) > 0.2, "warm enough for it by then");
     }
 
-    /** A list says that a worker starts in an hour: cold from now on, it is warm in the time that the settings give. */
+    /** A listed start one hour ahead counts as now: the worker is warm after the usual warm-up time. */
     @Test
     void aStartInTheFutureCountsAsNow() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
@@ -119,7 +119,7 @@
         h.advance(10_000_000);
         h.reportFreeSlots(1, 4);
         for (int job = 1; job <= 2; job++) {
-            h.replaceWorkers(ahead); // the same list again is no new start
+            h.replaceWorkers(ahead); // the same list again is not another restart
             Contract.Request r = h.newRequest(job, s);
             r.costHintUs = 300_000; // a cold one would need 3 s for it
             h.policy.requestAccepted(h.now, r);
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Rule 4 over a second and all dispatchers: jobs as they come, a fifth of them long, from a fleet's worth of clients at the
-     * fleet's capacity; what is sent to the cold worker stays under the multiple of what it can do.
+     * At the fleet's full capacity, with a fifth of the jobs long, the work that all schedulers together send to a cold worker stays
+     * below the multiple of its capacity at which it collapses.
      */
     @Test
     void allSchedulersTogetherStayBelowAColdWorkersCollapseLoad() {
@@ -157,7 +157,7 @@
         int id = 0;
         for (double t = 0; t < seconds; ) {
             double work = jobs.nextInt(5) == 0 ? 2.0 : 0.1 + 0.3 * jobs.nextDouble();
-            t += work / (warm * slots); // all slots busy in the mean
+            t += work / (warm * slots); // keeps all slots busy on average
             RecordingHost h = hosts.get(jobs.nextInt(SCHEDULERS));
             h.advance((long) (t * 1e6) - (h.now - start));
             Contract.Request r = h.newRequest(++id, s);
@@ -167,6 +167,6 @@
             toCold += h.sentTo.size() > before && h.sentTo.get(before) == 0 ? work : 0;
         }
         double canDo = s.coldCapacityShare * slots * seconds;
-        assertTrue(toCold > 0.1 * canDo && toCold < s.collapseLoadFactor * canDo, toCold + " s of work to one that can do " + canDo);
+        assertTrue(toCold > 0.1 * canDo && toCold < s.collapseLoadFactor * canDo, toCold + " s of work sent, with a capacity of " + canDo);
     }
 }
--- a/core/src/test/java/hookweir/ModuleLimitsTest.java
+++ b/core/src/test/java/hookweir/ModuleLimitsTest.java
@@ -10,12 +10,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decisions are ported by hand one day: they lie in small files, and name their interface. */
+/** Keeps the module easy to port to another language by hand: files stay small, and the policy names its interface. */
 class ModuleLimitsTest {
     private static final Path SOURCES = Path.of("src/main/java/hookweir");
     private static final Path POLICY = SOURCES.resolve("Policy.java");
     private static final long MAX_LINES = 400;
-    /** The one file that is longer, until it is split. */
+    /** Policy.java may be longer until it is split. */
     private static final long MAX_LINES_OF_POLICY = 649;
 
     private static long nonBlankLines(Path file) {
@@ -40,7 +40,7 @@
     void widthOfTheModule() throws IOException {
         List<String> lines = Files.readAllLines(POLICY);
         for (int i = 0; i < lines.size(); i++) {
-            assertTrue(lines.get(i).length() <= 110, "line " + (i + 1) + " is " + lines.get(i).length() + " wide");
+            assertTrue(lines.get(i).length() <= 110, "line " + (i + 1) + " is " + lines.get(i).length() + " characters wide");
         }
     }
 
--- a/core/src/test/java/hookweir/OwnJobsTest.java
+++ b/core/src/test/java/hookweir/OwnJobsTest.java
@@ -9,7 +9,7 @@
 import hookweir.Contract.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What a dispatcher has out at a worker it knows for itself; an old report tells what the others have there. */
+/** A scheduler knows the slots of its own jobs exactly; load reports only count for the jobs of other schedulers. */
 final class OwnJobsTest {
     private static final int SLOTS = 4;
 
@@ -30,7 +30,7 @@
         RecordingHost h = hostWithOwnJobs(s, SLOTS);
         h.advance(4_000_000);
         h.accept(9, s);
-        assertEquals(SLOTS, h.sentTo.size(), "held: all slots are taken by own jobs, however long ago");
+        assertEquals(SLOTS, h.sentTo.size(), "waits: own jobs hold all slots, however long ago they were sent");
         h.endAttempt(1, 0, 1, Outcome.OK, true);
         h.advance(400_000);
         assertEquals(SLOTS + 1, h.sentTo.size());
@@ -41,7 +41,7 @@
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = hostWithOwnJobs(s, SLOTS);
         h.advance(500_000);
-        h.reportFreeSlots(1, 0); // these four, and nobody else's
+        h.reportFreeSlots(1, 0); // the four own jobs and no others
         h.endAttempt(1, 0, 1, Outcome.OK, true);
         h.endAttempt(2, 0, 1, Outcome.OK, true);
         h.accept(9, s);
@@ -53,14 +53,14 @@
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         RecordingHost h = hostWithOwnJobs(s, 1);
         h.advance(500_000);
-        h.reportFreeSlots(1, 0); // one own, three of others
+        h.reportFreeSlots(1, 0); // one own job, three of other schedulers
         h.endAttempt(1, 0, 1, Outcome.OK, true);
         h.accept(8, s);
         h.accept(9, s);
-        assertEquals(2, h.sentTo.size(), "one slot came free, and was taken again");
+        assertEquals(2, h.sentTo.size(), "one slot became free and was used again");
     }
 
-    /** Over two workers: one that own jobs nearly fill draws by the room that they leave, with no report of them at all. */
+    /** A worker that own jobs nearly fill is weighted by its remaining slots, without any report of these jobs. */
     @Test
     void selectionCountsOwnJobsBeforeAReport() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
--- a/core/src/test/java/hookweir/PolicyBoundsTest.java
+++ b/core/src/test/java/hookweir/PolicyBoundsTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the module holds stays bounded after days of churn: each table is read through the field that holds it, as
- * nothing outside shows its size until memory runs out.
+ * The tables of a policy don't grow with the number of past jobs and workers. They are read by reflection, as their sizes aren't
+ * visible from outside.
  */
 final class PolicyBoundsTest {
     /**
-     * A job that is looking at workers when its client leaves, one of whose workers is then struck from the list:
-     * that worker's check comes back to a module that no longer knows it. The job must still leave the table of
-     * probing, or each such case stays there for good (and every later check walks past it).
+     * A client abandons a job while its candidates are being probed, and then one of these is removed from the list, so that the end
+     * of its probe is ignored. The job must still be removed from the table of probing jobs, or it would stay there for good and slow
+     * down the handling of every later probe.
      */
     @Test
     void anAbandonedProbingJobIsRemovedWhenAWorkerLeavesTheList() throws ReflectiveOperationException {
@@ -35,17 +35,17 @@
             h.advance(1_000_000);
             h.probes.clear();
             h.accept(round + 1, s);
-            assertTrue(h.probes.size() > 0, "the job looks before it is sent");
+            assertTrue(h.probes.size() > 0, "the job probes candidates before it is sent");
             h.policy.requestAbandoned(h.now, round + 1);
-            Contract.Worker struck = worker(h.probes.get(0));
-            struck.state = Contract.WorkerState.GONE;
-            h.changeWorkers(struck);
+            Contract.Worker removed = worker(h.probes.get(0));
+            removed.state = Contract.WorkerState.GONE;
+            h.changeWorkers(removed);
             for (int w : h.probes) {
                 h.policy.probeEnded(h.now, w, Outcome.OK, 500, RecordingHost.reportOf(8));
             }
             h.advance(1_000_000);
         }
-        assertEquals(0, sizeOfTable(h.policy, "probing"), "jobs left looking after their end");
+        assertEquals(0, sizeOfTable(h.policy, "probingJobs"), "jobs that still probe after their end");
         assertEquals(0, sizeOfTable(h.policy, "jobs"), "jobs held after their end");
     }
 
--- a/core/src/test/java/hookweir/PolicyRulesTest.java
+++ b/core/src/test/java/hookweir/PolicyRulesTest.java
@@ -14,29 +14,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The four rules, and answers to failures. */
+/** Safe retries, draining workers, cold workers, and the response to failures and to a shutdown. */
 class PolicyRulesTest {
-    /** What follows an open outcome of the only attempt: again (another attempt), fail or refuse. */
+    /** What follows the end of the only attempt of an open request: again (another attempt) or fail. */
     @ParameterizedTest
     @CsvSource({
-        "SAFE, FULL, again", "SAFE, CONNECT_FAILED, again", "SAFE, ERROR, again", "SAFE, RESET, again",
-        "SAFE, TIMEOUT, again", "SAFE, CANCELLED, again",
+        "IDEMPOTENT, FULL, again", "IDEMPOTENT, CONNECT_FAILED, again", "IDEMPOTENT, ERROR, again", "IDEMPOTENT, RESET, again",
+        "IDEMPOTENT, TIMEOUT, again", "IDEMPOTENT, CANCELLED, again",
         "KEYED, FULL, again", "KEYED, CONNECT_FAILED, again", "KEYED, ERROR, again", "KEYED, RESET, again",
         "KEYED, TIMEOUT, again",
-        "UNSAFE, FULL, again", "UNSAFE, CONNECT_FAILED, again", "UNSAFE, MOOT, again", "UNSAFE, ERROR, fail",
-        "UNSAFE, RESET, fail", "UNSAFE, TIMEOUT, fail", "UNSAFE, CANCELLED, fail"})
-    void followUpOfAnOutcome(Idempotency effect, Outcome outcome, String then) {
-        Contract.Settings s = settings(effect);
+        "NON_IDEMPOTENT, FULL, again", "NON_IDEMPOTENT, CONNECT_FAILED, again", "NON_IDEMPOTENT, MOOT, again", "NON_IDEMPOTENT, ERROR, fail",
+        "NON_IDEMPOTENT, RESET, fail", "NON_IDEMPOTENT, TIMEOUT, fail", "NON_IDEMPOTENT, CANCELLED, fail"})
+    void followUpOfAnOutcome(Idempotency idempotency, Outcome outcome, String then) {
+        Contract.Settings s = settings(idempotency);
         RecordingHost h = RecordingHost.with(s, 11);
         h.replaceWorkers(worker(1), worker(2), worker(3));
         h.accept(1, s);
         h.endAttempt(1, 0, h.sentTo.get(0), outcome, false);
         assertEquals(then.equals("again") ? 2 : 1, h.countActions("send"), h.actions.toString());
         assertEquals(then.equals("fail") ? 1 : 0, h.countActions("fail"));
-        assertEquals(0, h.countActions("refuse"));
+        assertEquals(0, h.countActions("reject"));
     }
 
-    /** A connection that takes its time brought a repeat beyond its window. */
+    /** While a connection was being established, the deduplication window could end, and the retry arrived after it. */
     @Test
     void aKeyedRetryThatMayArriveAfterItsWindowIsNotSent() {
         Contract.Settings s = settings(Idempotency.KEYED);
@@ -57,19 +57,19 @@
         Contract.Settings s = settings(Idempotency.KEYED);
         for (int seed = 0; seed < 40; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
-            Contract.Worker[] fleet = new Contract.Worker[6];
+            Contract.Worker[] workers = new Contract.Worker[6];
             for (int i = 0; i < 6; i++) {
-                fleet[i] = worker(i);
-                fleet[i].cell = i / 2;
+                workers[i] = worker(i);
+                workers[i].cell = i / 2;
             }
-            h.replaceWorkers(fleet);
+            h.replaceWorkers(workers);
             h.accept(1, s);
             h.endAttempt(1, 0, h.sentTo.get(0), Outcome.RESET, false);
             assertEquals(h.sentTo.get(0) / 2, h.sentTo.get(1) / 2);
             h.advance(1_950_000);
             h.endAttempt(1, 1, h.sentTo.get(1), Outcome.RESET, false);
             assertEquals(2, h.countActions("send"), "the window is over");
-            assertEquals(1, h.countActions("fail"), "and it may have run, so no refusal");
+            assertEquals(1, h.countActions("fail"), "it may have run, so it is not rejected");
         }
     }
 
@@ -86,22 +86,22 @@
             }
         }
         h.advance(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.countActions("refuse"));
+        assertEquals(1, h.countActions("reject"));
         assertEquals(0, h.countActions("fail"));
     }
 
     @ParameterizedTest
-    @CsvSource({"SAFE, refuse", "KEYED, fail", "UNSAFE, fail"})
-    void aWorkerThatNeverRespondsDoesNotKeepTheClientWaiting(Idempotency effect, String answer) {
-        Contract.Settings s = settings(effect);
+    @CsvSource({"IDEMPOTENT, reject", "KEYED, fail", "NON_IDEMPOTENT, fail"})
+    void aWorkerThatNeverRespondsDoesNotKeepTheClientWaiting(Idempotency idempotency, String response) {
+        Contract.Settings s = settings(idempotency);
         RecordingHost h = RecordingHost.with(s, 4);
         h.replaceWorkers(worker(1));
         h.accept(1, s);
         h.advance(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.countActions(answer + " 1"));
+        assertEquals(1, h.countActions(response + " 1"));
         h.endAttempt(1, 0, 1, Outcome.CANCELLED, true);
         h.advance(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.countActions("refuse") + h.countActions("fail"), "one answer and no more");
+        assertEquals(1, h.countActions("reject") + h.countActions("fail"), "exactly one response");
         assertEquals(1, h.countActions("send"));
     }
 
@@ -118,7 +118,7 @@
         h.endAttempt(2, 0, h.sentTo.get(1), Outcome.RESET, true);
         h.advance(20_000_000);
         assertEquals(2, h.countActions("send"));
-        assertEquals(0, h.countActions("refuse") + h.countActions("fail"));
+        assertEquals(0, h.countActions("reject") + h.countActions("fail"));
     }
 
     @Test
@@ -141,7 +141,7 @@
             h.accept(i, s);
         }
         h.advance(5_000_000);
-        assertEquals(Set.of(9), new HashSet<>(h.sentTo), "what a whole list lacks is gone");
+        assertEquals(Set.of(9), new HashSet<>(h.sentTo), "a worker missing from a complete list is gone");
     }
 
     @Test
@@ -149,7 +149,7 @@
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
         s.coldCapacityShare = 0.2;
         int cold = 0;
-        int repeats = 0;
+        int retries = 0;
         int n = 3000;
         RecordingHost h = RecordingHost.with(s, 8);
         Contract.Worker fresh = worker(0);
@@ -171,10 +171,10 @@
             again.clientRetry = true;
             before = h.sentTo.size();
             h.policy.requestAccepted(h.now, again);
-            repeats += h.sentTo.size() > before && h.sentTo.get(before) == 0 ? 1 : 0;
+            retries += h.sentTo.size() > before && h.sentTo.get(before) == 0 ? 1 : 0;
         }
-        assertEquals(0, repeats, "a client's repeat draws no lot");
-        double share = 0.2 * 1.34 / 4.268; // its sure capacity, two thirds of the multiple that pushes it over
+        assertEquals(0, retries, "a client's retry is never sent to a cold worker");
+        double share = 0.2 * 1.34 / 4.268; // guaranteed capacity times 0.45 * collapseLoadFactor / 0.67
         assertTrue(cold < n * share * 1.25, "sent " + cold);
         assertTrue(cold > n * share * 0.5, "sent " + cold);
     }
@@ -193,21 +193,21 @@
         for (int i = 2; i < 40; i++) {
             h.accept(i, s);
         }
-        assertFalse(h.sentTo.contains(first), "set aside for now");
+        assertFalse(h.sentTo.contains(first), "ejected for now");
         h.advance(400_000_000);
         h.sentTo.clear();
         for (int i = 100; i < 160; i++) {
             h.accept(i, s);
         }
-        assertTrue(h.sentTo.contains(first), "and taken back");
+        assertTrue(h.sentTo.contains(first), "readmitted");
         assertEquals(0, h.policy.excludedWorkerCount(h.now));
-        Contract.Worker leaver = worker(2);
-        leaver.state = Contract.WorkerState.DRAINING;
-        h.changeWorkers(leaver);
+        Contract.Worker draining = worker(2);
+        draining.state = Contract.WorkerState.DRAINING;
+        h.changeWorkers(draining);
         assertEquals(1, h.policy.excludedWorkerCount(h.now));
     }
 
-    /** New settings: fewer attempts hold at once, more only for new jobs, and no check goes out where probes are barred. */
+    /** New settings: fewer attempts apply at once, more only to new requests, and no probes are sent if they are not allowed. */
     @Test
     void newSettingsApplyAndOpenRequestsKeepTheirClass() {
         Contract.Settings s = settings(Idempotency.IDEMPOTENT);
@@ -231,7 +231,7 @@
         h.endAttempt(1, 1, h.sentTo.get(1), Outcome.ERROR, false);
         h.advance(20_000_000);
         assertEquals(2, h.countActions("send 1 "));
-        assertEquals(1, h.countActions("refuse 1"));
+        assertEquals(1, h.countActions("reject 1"));
         assertTrue(h.probes.isEmpty());
         Contract.Request r = h.newRequest(2, strict);
         r.requestClass = 1;
@@ -251,11 +251,11 @@
         r.deadlineAtUs = h.now + 3_000_000;
         r.clientRetry = true;
         h.policy.requestAccepted(h.now, r);
-        assertEquals(1, h.countActions("refuse 1"));
+        assertEquals(1, h.countActions("reject 1"));
         assertEquals(0, h.countActions("send"));
     }
 
-    /** A client that names less time than its class has was taken for one that had waited, and refused on an idle fleet. */
+    /** A client with a shorter deadline than its class was mistaken for one that had already waited, and rejected by an idle fleet. */
     @Test
     void aShortDeadlineIsServedWhileSlotsAreFree() {
         Contract.Settings s = settings(Idempotency.NON_IDEMPOTENT);
@@ -274,7 +274,7 @@
         Contract.Request late = h.newRequest(99, s);
         late.deadlineAtUs = h.now + s.classes.get(0).softDeadlineUs / 2;
         h.policy.requestAccepted(h.now, late);
-        assertEquals(1, h.countActions("refuse 99"));
+        assertEquals(1, h.countActions("reject 99"));
     }
 
     @Test
@@ -295,7 +295,7 @@
             h.reportFreeSlots(1, 0);
             h.advance(40_000);
         }
-        assertEquals(1, h.countActions("refuse 1"), "it may be the smallest of jobs");
+        assertEquals(1, h.countActions("reject 1"), "it may be the shortest of jobs");
     }
 
     @Test
@@ -319,8 +319,8 @@
 
     @Test
     void requestsEndEvenWithoutUsableWorkers() {
-        for (Idempotency effect : Idempotency.values()) {
-            Contract.Settings s = settings(effect);
+        for (Idempotency idempotency : Idempotency.values()) {
+            Contract.Settings s = settings(idempotency);
             RecordingHost h = RecordingHost.with(s, 8);
             h.replaceWorkers();
             h.accept(1, s);
@@ -328,14 +328,14 @@
             past.deadlineAtUs = h.now - 5;
             h.policy.requestAccepted(h.now, past);
             h.advance(s.classes.get(0).deadlineUs);
-            assertEquals(2, h.countActions("refuse") + h.countActions("fail"), effect + " " + h.actions);
+            assertEquals(2, h.countActions("reject") + h.countActions("fail"), idempotency + " " + h.actions);
             Contract.Worker draining = worker(1);
             draining.state = Contract.WorkerState.DRAINING;
             h.replaceWorkers(draining);
             h.accept(3, s);
             h.advance(s.classes.get(0).deadlineUs);
             assertEquals(0, h.countActions("send"));
-            assertEquals(3, h.countActions("refuse") + h.countActions("fail"));
+            assertEquals(3, h.countActions("reject") + h.countActions("fail"));
         }
     }
 
@@ -360,24 +360,24 @@
         assertEquals(1, h.actions.size());
     }
 
-    /** At a planned end a job too long to finish is refused at once, if that is harmless, and a new one too. */
+    /** At a shutdown a job too long to finish is rejected at once, if a retry is harmless, and so is a new one. */
     @ParameterizedTest
-    @CsvSource({"SAFE, 9000000, 1, 1", "SAFE, 4000000, 0, 1", "SAFE, 100000, 0, 1", "UNSAFE, 9000000, 0, 0"})
-    void shutdownRejectsJobsThatCannotFinish(Idempotency effect, long hintUs, int atOnce, int inTheEnd) {
-        Contract.Settings s = settings(effect);
+    @CsvSource({"IDEMPOTENT, 9000000, 1, 1", "IDEMPOTENT, 4000000, 0, 1", "IDEMPOTENT, 100000, 0, 1", "NON_IDEMPOTENT, 9000000, 0, 0"})
+    void shutdownRejectsJobsThatCannotFinish(Idempotency idempotency, long hintUs, int atOnce, int inTheEnd) {
+        Contract.Settings s = settings(idempotency);
         RecordingHost h = RecordingHost.with(s, 4);
         h.replaceWorkers(worker(1));
         Contract.Request r = h.newRequest(1, s);
         r.costHintUs = hintUs;
         h.policy.requestAccepted(h.now, r);
         h.policy.shutdownStarted(h.now, h.now + 3_000_000);
-        assertEquals(atOnce, h.countActions("refuse 1"));
+        assertEquals(atOnce, h.countActions("reject 1"));
         Contract.Request late = h.newRequest(2, s);
         late.costHintUs = 9_000_000;
         h.policy.requestAccepted(h.now, late);
-        assertEquals(1, h.countActions("refuse 2"));
+        assertEquals(1, h.countActions("reject 2"));
         h.advance(3_000_000);
-        assertEquals(inTheEnd, h.countActions("refuse 1"));
+        assertEquals(inTheEnd, h.countActions("reject 1"));
         assertEquals(1, h.countActions("send"));
     }
 }
--- a/core/src/test/java/hookweir/PolicySelectionTest.java
+++ b/core/src/test/java/hookweir/PolicySelectionTest.java
@@ -8,11 +8,11 @@
 import java.util.Collections;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path: shares of the draw, checks, and the departures that weigh room. */
+/** Weighted selection of workers, probes, and how load reports, zones, keys and run times change the weights. */
 class PolicySelectionTest {
     private static final int RUNS = 4000;
 
-    /** Draws once from each of many fresh dispatchers, so that own sends don't count; share of sends to a worker. */
+    /** Share of jobs sent to a worker, over one job at each of many new policies, so that their own jobs don't count. */
     private static double share(int worker, double[] free, java.util.function.Consumer<RecordingHost> prepare) {
         int hits = 0;
         for (int seed = 0; seed < RUNS; seed++) {
@@ -107,10 +107,10 @@
             h.reportFreeSlots(w, 0);
         }
         h.accept(1, s);
-        assertEquals(0, h.sentTo.size(), "held while all read full");
+        assertEquals(0, h.sentTo.size(), "waits while all workers are full");
         h.reportFreeSlots(2, 4);
         h.advance(s.classes.get(0).deadlineUs);
-        assertEquals(1, h.sentTo.size() + h.countActions("refuse"));
+        assertEquals(1, h.sentTo.size() + h.countActions("reject"));
     }
 
     @Test
@@ -163,23 +163,23 @@
     private static double shareToOtherZone(double price) {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         s.crossZonePrice = price;
-        int abroad = 0;
+        int otherZone = 0;
         for (int seed = 0; seed < RUNS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
             Contract.Worker far = worker(2);
             far.zone = 1;
             h.replaceWorkers(worker(1), far);
             h.accept(1, s);
-            abroad += Collections.frequency(h.sentTo, 2);
+            otherZone += Collections.frequency(h.sentTo, 2);
         }
-        return abroad / (double) RUNS;
+        return otherZone / (double) RUNS;
     }
 
     @Test
     void aFullZoneSpillsOver() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
         s.crossZonePrice = 0.1;
-        int abroad = 0;
+        int otherZone = 0;
         for (int seed = 0; seed < RUNS; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
             Contract.Worker far = worker(2);
@@ -191,9 +191,9 @@
                 h.sentTo.clear();
                 h.accept(i, s);
             }
-            abroad += Collections.frequency(h.sentTo, 2);
+            otherZone += Collections.frequency(h.sentTo, 2);
         }
-        assertTrue(abroad > RUNS * 0.65, "abroad " + abroad);
+        assertTrue(otherZone > RUNS * 0.65, "sent to the other zone: " + otherZone);
     }
 
     @Test
@@ -232,7 +232,7 @@
         h.policy.probeEnded(h.now, 1, Contract.Outcome.OK, 10, r);
         h.accept(1, s);
         h.advance(s.classes.get(0).deadlineUs);
-        assertTrue(h.countActions("send") + h.countActions("refuse") > 0);
+        assertTrue(h.countActions("send") + h.countActions("reject") > 0);
     }
 
     @Test
@@ -245,25 +245,25 @@
         h.replaceWorkers(worker(1), worker(2), worker(3), worker(4));
         h.accept(1, s);
         assertEquals(3, h.probes.size());
-        int roomy = h.probes.get(1);
-        h.reportFreeSlots(roomy, 8);
+        int free = h.probes.get(1);
+        h.reportFreeSlots(free, 8);
         for (int w : h.probes) {
-            if (w != roomy) {
+            if (w != free) {
                 h.reportFreeSlots(w, 0);
             }
         }
-        assertEquals(java.util.List.of(roomy), h.sentTo);
+        assertEquals(java.util.List.of(free), h.sentTo);
     }
 
-    /** Probes made for the next job after reports of 6 s, 0.5 s apart, each of which tells these figures and so much more in hand. */
-    private static int probesAfterReports(double utilization, double inHand, double step) {
+    /** Probes sent for a job after reports over 6 s, 0.5 s apart, with these values; outstanding requests grow by a step each time. */
+    private static int probesAfterReports(double utilization, double outstanding, double step) {
         Contract.Settings s = RecordingHost.probingSettings(Contract.Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, 5);
         h.replaceWorkers(worker(1), worker(2));
         for (int i = 0; i < 12; i++) {
             Contract.Report r = RecordingHost.reportOf(2);
             r.utilization = utilization;
-            r.outstanding = inHand + i * step;
+            r.outstanding = outstanding + i * step;
             h.policy.probeEnded(h.now, 1, Contract.Outcome.OK, 500, r);
             h.advance(500_000);
         }
@@ -272,14 +272,14 @@
         return h.probes.size() - before;
     }
 
-    /** Where reports had no utilization those of a second ago were taken for new ones, and every dispatcher ran after them. */
+    /** If reports had no utilization, those of a second ago counted as new, and all schedulers followed the same old values. */
     @Test
     void reportAgeIsEstimatedFromAnyReportedValue() {
-        assertEquals(0, probesAfterReports(Double.NaN, 1.37, 0), "the same measuring for 6 s: too old to tell who is full");
-        assertTrue(probesAfterReports(Double.NaN, 1.37, 0.01) > 0, "measured anew each time");
-        assertTrue(probesAfterReports(Double.NaN, 1, 0) > 0, "whole figures may well be alike");
+        assertEquals(0, probesAfterReports(Double.NaN, 1.37, 0), "the same value for 6 s: too old to tell who is full");
+        assertTrue(probesAfterReports(Double.NaN, 1.37, 0.01) > 0, "a new value each time");
+        assertTrue(probesAfterReports(Double.NaN, 1, 0) > 0, "whole numbers may repeat");
         assertEquals(0, probesAfterReports(0.37, 1, 0), "the same utilization");
-        assertTrue(probesAfterReports(1.02, 1, 0) > 0, "a full worker reads alike each time");
+        assertTrue(probesAfterReports(1.02, 1, 0) > 0, "a full worker reports the same each time");
     }
 
     @Test
@@ -294,11 +294,11 @@
         assertEquals(1, h.sentTo.size());
     }
 
-    /** A worker that fails its jobs at once always read roomy, and drew a full share of them. */
+    /** A worker that failed its jobs at once always seemed to have free slots, and got a full share of the jobs. */
     @Test
     void fastErrorsAreNotFreeCapacity() {
         Contract.Settings s = settings(Contract.Idempotency.IDEMPOTENT);
-        int drawn = 0;
+        int sent = 0;
         for (int seed = 0; seed < 50; seed++) {
             RecordingHost h = RecordingHost.with(s, seed);
             h.replaceWorkers(worker(1), worker(2), worker(3));
@@ -310,10 +310,10 @@
                 int at = h.sentTo.get(id);
                 h.endAttempt(id, 0, at, at == 1 ? Contract.Outcome.ERROR : Contract.Outcome.OK, true);
                 h.advance(100_000);
-                drawn += at == 1 && id >= 15 ? 1 : 0;
+                sent += at == 1 && id >= 15 ? 1 : 0;
             }
         }
-        assertTrue(drawn < 750 / 4, "of 750 draws a third would be even: " + drawn);
-        assertTrue(drawn > 15, "it is tried again: " + drawn);
+        assertTrue(sent < 750 / 4, "a uniform share would be a third of 750: " + sent);
+        assertTrue(sent > 15, "it is tried again: " + sent);
     }
 }
--- a/core/src/test/java/hookweir/QueueingListService.java
+++ b/core/src/test/java/hookweir/QueueingListService.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * A list service in simulated time that works through the calls of all schedulers in turn. A call that waited too long is refused,
- * but still takes its turn. While it is down no call is worked on, and each is refused after the same wait.
+ * A list service in simulated time that handles the calls of all schedulers one by one. A call that waits too long times out, but
+ * is still handled. While the service is down, it handles no calls, and each times out after the same wait.
  */
 final class QueueingListService {
     private static final long STEP_US = 5_000;
@@ -35,7 +35,7 @@
         watching = new boolean[callers.size()];
     }
 
-    /** How many have an open watch. */
+    /** The number of schedulers with an open watch. */
     int openWatches() {
         int served = 0;
         for (boolean one : watching) {
--- a/core/src/test/java/hookweir/RecordingHost.java
+++ b/core/src/test/java/hookweir/RecordingHost.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Records the actions of a dispatcher and plays its timers when a scenario lets time pass. */
+/** A host that records the actions of a policy, and runs its timers when a test advances the clock. */
 final class RecordingHost implements Contract.Host {
     final List<String> actions = new ArrayList<>();
     final List<Integer> sentTo = new ArrayList<>();
@@ -19,7 +19,7 @@
         return host;
     }
 
-    /** Lets time pass, timers included. */
+    /** Advances the clock and runs the timers that expire until then. */
     void advance(long us) {
         long until = now + us;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
@@ -39,7 +39,7 @@
         policy.workerListReceived(now, true, List.of(workers));
     }
 
-    /** Takes a request of class 0 that the client waits a whole deadline for. */
+    /** A new request of class 0 whose client waits for the full deadline of the class. */
     Contract.Request newRequest(int id, Contract.Settings settings) {
         Contract.Request r = new Contract.Request();
         r.id = id;
@@ -76,11 +76,11 @@
         return w;
     }
 
-    /** One class with one second's aim and ten seconds' deadline; no probes, so that nothing is looked at. */
-    static Contract.Settings settings(Contract.Idempotency effect) {
+    /** One class with a soft deadline of 1 s and a deadline of 10 s; probes are not allowed. */
+    static Contract.Settings settings(Contract.Idempotency idempotency) {
         Contract.Settings s = new Contract.Settings();
         Contract.RequestClass c = new Contract.RequestClass();
-        c.idempotency = effect;
+        c.idempotency = idempotency;
         c.dedupScope = Contract.DedupScope.CELL;
         c.softDeadlineUs = 1_000_000;
         c.lateValueShare = 0.5;
@@ -95,16 +95,16 @@
         return s;
     }
 
-    /** As {@link #settings}, with figures by probes alone, at a price that allows one look at a time. */
-    static Contract.Settings probingSettings(Contract.Idempotency effect) {
-        Contract.Settings s = settings(effect);
+    /** As {@link #settings}, but with reports by probes only, at a price that allows one probe per job. */
+    static Contract.Settings probingSettings(Contract.Idempotency idempotency) {
+        Contract.Settings s = settings(idempotency);
         s.probesAllowed = true;
         s.loadReportSource = Contract.LoadReportSource.PROBES;
         s.probePrice = 0.01;
         return s;
     }
 
-    /** So many workers, numbered from 0. */
+    /** Workers with the ids 0 to n - 1. */
     static Contract.Worker[] workers(int n) {
         Contract.Worker[] fleet = new Contract.Worker[n];
         for (int i = 0; i < n; i++) {
@@ -114,14 +114,14 @@
     }
 
     @Override
-    public void send(int requestId, int workerId, long withinUs) {
+    public void send(int requestId, int workerId, long timeoutUs) {
         actions.add("send " + requestId + " " + workerId);
         sentTo.add(workerId);
     }
 
     @Override
-    public void reject(int requestId, long comeBackUs) {
-        actions.add("refuse " + requestId);
+    public void reject(int requestId, long retryAfterUs) {
+        actions.add("reject " + requestId);
     }
 
     @Override
@@ -160,7 +160,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-        actions.add("tell " + peer);
+        actions.add("sendToPeer " + peer);
     }
 
     @Override
--- a/core/src/test/java/hookweir/StaleReportsTest.java
+++ b/core/src/test/java/hookweir/StaleReportsTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One of many dispatchers sees few requests, so its figures are old: what a worker said a while ago must not decide
- * where a job goes while there is time to ask again.
+ * One of many schedulers sees few requests, so its load reports are old: these must not decide where a job goes while there is time
+ * to probe workers again.
  */
 final class StaleReportsTest {
     private static final int WORKERS = 12;
     private static final int SEEDS = 200;
 
-    /** All workers had room when last heard; since then all but the roomy ones have filled up. The job's probes so far. */
-    private static int[] probesAndTarget(int roomy, int seed) {
+    /** All workers last reported free slots; since then all but some have become full. Returns the job's probe count and target. */
+    private static int[] probesAndTarget(int withFreeSlots, int seed) {
         Contract.Settings s = probingSettings(Idempotency.IDEMPOTENT);
         RecordingHost h = RecordingHost.with(s, seed);
         h.replaceWorkers(workers(WORKERS));
@@ -28,29 +28,29 @@
         h.probes.clear();
         h.accept(1, s);
         for (int i = 0; i < h.probes.size(); i++) {
-            h.reportFreeSlots(h.probes.get(i), h.probes.get(i) < roomy ? 4 : 0);
+            h.reportFreeSlots(h.probes.get(i), h.probes.get(i) < withFreeSlots ? 4 : 0);
         }
         return new int[] {h.probes.size(), h.sentTo.isEmpty() ? -1 : h.sentTo.get(0)};
     }
 
     @Test
     void probesFurtherWorkersIfTheFirstIsFull() {
-        int roomy = 0;
+        int withFreeSlots = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            roomy += probesAndTarget(WORKERS / 3, seed)[1] < WORKERS / 3 ? 1 : 0;
+            withFreeSlots += probesAndTarget(WORKERS / 3, seed)[1] < WORKERS / 3 ? 1 : 0;
         }
-        // One look in three finds room; sent on an old figure after the first, 0.33 + 0.67 * 0.36 = 0.57 of the jobs do.
-        assertTrue(roomy > 0.75 * SEEDS, "sent to a worker with room: " + roomy + " of " + SEEDS);
+        // One probe in three finds free slots; if the first one fails and old reports decide, 0.33 + 0.67 * 0.36 = 0.57 of the jobs do.
+        assertTrue(withFreeSlots > 0.75 * SEEDS, "sent to a worker with free slots: " + withFreeSlots + " of " + SEEDS);
     }
 
     @Test
     void limitsProbesOfAFullFleet() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            assertEquals(5, probesAndTarget(0, seed)[0], "the first look and four further ones, seed " + seed);
+            assertEquals(5, probesAndTarget(0, seed)[0], "the first probe and four further ones, seed " + seed);
         }
     }
 
-    /** Shares of jobs, over seeds, that go to worker 0 of two that both had room when last heard; it is looked at. */
+    /** Number of jobs, over all seeds, sent to worker 0 of two that both last reported free slots, with these results of probes. */
     private static int jobsSentToFirst(Contract.Outcome check, double errorsFirst, double errorsSecond) {
         int first = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
@@ -80,7 +80,7 @@
     void avoidsAWorkerThatReportsMoreErrorsThanOthers() {
         assertEquals(0, jobsSentToFirst(Contract.Outcome.OK, 2, 0));
         assertEquals(0.5, jobsSentToFirst(Contract.Outcome.OK, 2, 2) / (double) SEEDS, 0.12);
-        assertEquals(0.5, jobsSentToFirst(Contract.Outcome.OK, 0.002, 0) / (double) SEEDS, 0.12, "a stray error is none");
+        assertEquals(0.5, jobsSentToFirst(Contract.Outcome.OK, 0.002, 0) / (double) SEEDS, 0.12, "a single error has no effect");
     }
 
     private static void endProbe(RecordingHost h, int worker, Contract.Outcome check, double errors) {
--- a/core/src/test/java/hookweir/TimerSpreadTest.java
+++ b/core/src/test/java/hookweir/TimerSpreadTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many dispatchers started in the same instant, with the same list and the same figures: their checks of workers
- * and their calls for the list must not land together, or each worker and discovery would meet them as waves.
+ * Many schedulers start at the same moment, with the same list and the same load reports: their probes and their calls to the list
+ * service must be spread over time, or they would reach the workers and the list service in waves.
  */
 final class TimerSpreadTest {
     private static final int SCHEDULERS = 100;
@@ -38,7 +38,7 @@
             hosts.add(h);
         }
         Random arrivals = new Random(7);
-        int[] checks = new int[STEPS];
+        int[] probes = new int[STEPS];
         int[] calls = new int[STEPS];
         int id = 0;
         for (int step = 0; step < STEPS; step++) {
@@ -47,20 +47,20 @@
                 int callsBefore = h.countActions("watch");
                 h.advance(STEP_US);
                 if (arrivals.nextInt(100) < 5) {
-                    h.accept(++id, s); // a request now and then, at each dispatcher's own moments
+                    h.accept(++id, s); // occasional requests, at different times for each scheduler
                 }
                 for (int w : h.probes.subList(probesBefore, h.probes.size())) {
                     h.reportFreeSlots(w, 4);
                 }
-                checks[step] += h.probes.size() - probesBefore;
+                probes[step] += h.probes.size() - probesBefore;
                 calls[step] += h.countActions("watch") - callsBefore;
             }
         }
-        assertSpread("checks", checks, 0.25);
-        assertSpread("calls for the list", calls, 0.25);
+        assertSpread("probes", probes, 0.25);
+        assertSpread("list calls", calls, 0.25);
     }
 
-    /** No window of 50 ms holds more than so large a share of all that came in the busiest second. */
+    /** Asserts that no window of 50 ms holds more than this share of the events of its second. */
     private static void assertSpread(String what, int[] perStep, double maxShare) {
         int window = 5;
         int perSecond = (int) (1_000_000 / STEP_US);
@@ -83,7 +83,7 @@
                 peak = Math.max(peak, sum);
             }
             assertTrue(second < 10 || peak <= maxShare * second,
-                what + " in step: " + peak + " of " + second + " within 50 ms, second " + start / perSecond);
+                what + " not spread: " + peak + " of " + second + " within 50 ms, second " + start / perSecond);
         }
     }
 }
