--- a/lab/src/main/java/hookweir/lab/Main.java
+++ b/lab/src/main/java/hookweir/lab/Main.java
@@ -40,7 +40,7 @@
         @SubCommand(name = "saturate", impl = Saturate.class),
         @SubCommand(name = "check-history", impl = hookweir.lab.check.CheckHistory.class),
         @SubCommand(name = "mutate-history", impl = hookweir.lab.check.MutateHistory.class),
-        @SubCommand(name = "two-lives", impl = hookweir.lab.lives.TwoLives.class),
+        @SubCommand(name = "two-lives", impl = hookweir.lab.lives.StopAndRestart.class),
         @SubCommand(name = "random-stops", impl = hookweir.lab.lives.RandomStops.class),
         @SubCommand(name = "soak", impl = hookweir.lab.lives.Soak.class),
         @SubCommand(name = "trace-inspect", impl = hookweir.lab.trace.Inspect.class),
--- a/lab/src/main/java/hookweir/lab/lives/Wires.java
+++ b/lab/src/main/java/hookweir/lab/lives/BlockingHttp.java
@@ -8,28 +8,28 @@
 import java.nio.charset.StandardCharsets;
 
 /** HTTP/1.1 messages on plain blocking sockets, in parts where a scenario wants that. */
-final class Wires {
+final class BlockingHttp {
     /** A whole message. */
     record Message(String head, byte[] body) {
-        String first() {
+        String startLine() {
             return head.substring(0, head.indexOf("\r\n"));
         }
     }
 
-    private Wires() {
+    private BlockingHttp() {
     }
 
-    static void say(Socket s, byte[] bytes) throws IOException {
+    static void write(Socket s, byte[] bytes) throws IOException {
         s.getOutputStream().write(bytes);
         s.getOutputStream().flush();
     }
 
-    static void say(Socket s, String text) throws IOException {
-        say(s, text.getBytes(StandardCharsets.ISO_8859_1));
+    static void write(Socket s, String text) throws IOException {
+        write(s, text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next message whole; null where the connection ends before its first byte, EOFException where it does within. */
-    static Message hear(InputStream in) throws IOException {
+    static Message readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         String text;
         do {
--- a/lab/src/main/java/hookweir/lab/lives/Holder.java
+++ b/lab/src/main/java/hookweir/lab/lives/ListeningSocketHolder.java
@@ -11,8 +11,8 @@
  * Stands for a platform that holds a scheduler's listening socket and hands it on as descriptor 0, which the class library
  * can't do for a child: a few lines of Perl, which every Debian has. The socket lives as long as the holder.
  */
-final class Holder implements AutoCloseable {
-    private static final String SCRIPT = String.join("\n",
+final class ListeningSocketHolder implements AutoCloseable {
+    private static final String PERL_SCRIPT = String.join("\n",
         "use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';",
         "socket(my $s, PF_INET, SOCK_STREAM, 0) or die; setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1);",
         "bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die; listen($s, 512) or die;",
@@ -22,19 +22,19 @@
         "  print \"$p\\n\"; }");
 
     private final Process perl;
-    private final BufferedReader says;
-    private final Writer told;
+    private final BufferedReader output;
+    private final Writer input;
     private final int port;
 
-    Holder() throws IOException {
-        perl = new ProcessBuilder("perl", "-e", SCRIPT).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        says = new BufferedReader(new InputStreamReader(perl.getInputStream(), StandardCharsets.US_ASCII));
-        told = perl.outputWriter(StandardCharsets.US_ASCII);
-        port = number();
+    ListeningSocketHolder() throws IOException {
+        perl = new ProcessBuilder("perl", "-e", PERL_SCRIPT).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        output = new BufferedReader(new InputStreamReader(perl.getInputStream(), StandardCharsets.US_ASCII));
+        input = perl.outputWriter(StandardCharsets.US_ASCII);
+        port = readNumber();
     }
 
-    private int number() throws IOException {
-        String line = says.readLine();
+    private int readNumber() throws IOException {
+        String line = output.readLine();
         if (line == null) {
             throw new IOException("the holder of the listening socket ended (is perl there?)");
         }
@@ -47,15 +47,15 @@
 
     /** Starts a command with the listening socket as its descriptor 0; its process. */
     ProcessHandle start(String command, Path log) throws IOException {
-        told.write(log + "\t" + command + "\n");
-        told.flush();
-        int pid = number();
+        input.write(log + "\t" + command + "\n");
+        input.flush();
+        int pid = readNumber();
         return ProcessHandle.of(pid).orElseThrow(() -> new IOException("process " + pid + " ended at once, see " + log));
     }
 
     @Override
     public void close() throws IOException {
-        told.close();
+        input.close();
         perl.destroy();
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Asker.java
+++ b/lab/src/main/java/hookweir/lab/lives/PausableClient.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A client with one request, which can stop in the midst of writing it or of reading its answer. */
-final class Asker {
+final class PausableClient {
     /** How a request ended for its client. */
-    enum End { NOT_ASKED, SERVED, REFUSED, FAILED, LOST, NOTHING }
+    enum Outcome { NOT_ASKED, SERVED, REFUSED, FAILED, LOST, NOTHING }
 
     static final long DEADLINE_MS = 6000;
-    private static final long PATIENCE_MS = DEADLINE_MS + 300;
+    private static final long READ_TIMEOUT_MS = DEADLINE_MS + 300;
     private static final String BODY = "work to be done";
 
     private final Socket socket;
@@ -28,14 +28,14 @@
     private final Point point;
     private final String request;
     /** It has got to its point. */
-    final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch goesOn = new CountDownLatch(1);
-    private volatile boolean gaveUp;
-    private volatile End end = End.NOT_ASKED;
+    final CountDownLatch pointReached = new CountDownLatch(1);
+    private final CountDownLatch resumed = new CountDownLatch(1);
+    private volatile boolean abandoned;
+    private volatile Outcome awaitOutcome = Outcome.NOT_ASKED;
     private final Thread thread;
 
-    /** Begins; at HEAD_HALF_READ, BODY_HALF_READ and ANSWER_HALF_WRITTEN it waits there until {@link #goOn}. */
-    Asker(int port, String id, String kind, Point point, EventSink witness) throws IOException {
+    /** Begins; at HEAD_HALF_READ, BODY_HALF_READ and ANSWER_HALF_WRITTEN it waits there until {@link #resume}. */
+    PausableClient(int port, String id, String kind, Point point, EventSink witness) throws IOException {
         this.id = id;
         this.kind = kind;
         this.point = point;
@@ -44,90 +44,90 @@
             + (kind.equals("load-order") ? "\r\nIdempotency-Key: k-" + id : "") + "\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY;
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
-        thread = new Thread(this::run, "client " + id);
+        thread = new Thread(this::sendAndReceive, "client " + id);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void run() {
+    private void sendAndReceive() {
         try (socket) {
             int half = point == Point.HEAD_HALF_READ ? request.indexOf("Req-Kind") : request.length() - BODY.length() / 2;
-            if (point != null && point.halfAsked()) {
-                Wires.say(socket, request.substring(0, half));
-                reached.countDown();
-                goesOn.await();
-                if (gaveUp) {
+            if (point != null && point.isRequestIncomplete()) {
+                BlockingHttp.write(socket, request.substring(0, half));
+                pointReached.countDown();
+                resumed.await();
+                if (abandoned) {
                     return;
                 }
-                asked();
-                Wires.say(socket, request.substring(half));
+                recordRequest();
+                BlockingHttp.write(socket, request.substring(half));
             } else {
-                asked();
-                Wires.say(socket, request);
+                recordRequest();
+                BlockingHttp.write(socket, request);
             }
-            reads();
+            readResponse();
         } catch (IOException e) {
-            lost();
+            recordLost();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void asked() {
+    private void recordRequest() {
         String key = kind.equals("load-order") ? "k-" + id : null;
-        witness.accept(Event.ask(id, Life.NAME, kind, DEADLINE_MS,
+        witness.accept(Event.ask(id, SchedulerProcess.SCHEDULER_NAME, kind, DEADLINE_MS,
             Checksums.forwarded(request, key, BODY.getBytes(StandardCharsets.US_ASCII))));
-        end = End.NOTHING;
+        awaitOutcome = Outcome.NOTHING;
     }
 
-    private void reads() throws IOException, InterruptedException {
-        socket.setSoTimeout((int) PATIENCE_MS);
+    private void readResponse() throws IOException, InterruptedException {
+        socket.setSoTimeout((int) READ_TIMEOUT_MS);
         InputStream in = socket.getInputStream();
         try {
-            Wires.Message m;
+            BlockingHttp.Message m;
             if (point == Point.ANSWER_HALF_WRITTEN) {
                 byte[] part = in.readNBytes(1000);
-                reached.countDown();
-                goesOn.await();
-                m = Wires.hear(new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(part), in));
+                pointReached.countDown();
+                resumed.await();
+                m = BlockingHttp.readMessage(new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(part), in));
             } else {
-                m = Wires.hear(in);
+                m = BlockingHttp.readMessage(in);
             }
             if (m == null) {
-                lost();
+                recordLost();
                 return;
             }
-            int status = Integer.parseInt(m.first().split(" ")[1]);
-            String advice = Wires.header(m.head(), "Retry-After");
+            int status = Integer.parseInt(m.startLine().split(" ")[1]);
+            String advice = BlockingHttp.header(m.head(), "Retry-After");
             witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(m.body())).retryAfter(advice == null ? "" : advice));
-            end = status == 200 ? End.SERVED : status == 429 || status == 503 ? End.REFUSED : End.FAILED;
+            awaitOutcome = status == 200 ? Outcome.SERVED : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
         } catch (SocketTimeoutException e) {
             witness.accept(Event.of(Type.GONE, id, "", "")); // long after its deadline
         }
     }
 
     /** The connection ended with no whole answer. */
-    private void lost() {
-        if (end == End.NOTHING) {
+    private void recordLost() {
+        if (awaitOutcome == Outcome.NOTHING) {
             witness.accept(Event.cut(id, false));
-            end = End.LOST;
+            awaitOutcome = Outcome.LOST;
         }
     }
 
     /** Goes on with what it held back. */
-    void goOn() {
-        goesOn.countDown();
+    void resume() {
+        resumed.countDown();
     }
 
     /** Leaves what it has not asked yet unasked. */
-    void giveUp() {
-        gaveUp = true;
-        goesOn.countDown();
+    void abandon() {
+        abandoned = true;
+        resumed.countDown();
     }
 
     /** What came of it. */
-    End end() throws InterruptedException {
+    Outcome awaitOutcome() throws InterruptedException {
         thread.join();
-        return end;
+        return awaitOutcome;
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Point.java
+++ b/lab/src/main/java/hookweir/lab/lives/Point.java
@@ -32,12 +32,12 @@
     CALL_BACK_BETWEEN_PROCESSES;
 
     /** Needs a second process from the start, which shares the listening socket. */
-    boolean handOver() {
+    boolean needsSecondProcess() {
         return compareTo(SUCCESSOR_WAITS_FOR_LIST) >= 0;
     }
 
     /** The client's request is not whole when the stop comes. */
-    boolean halfAsked() {
+    boolean isRequestIncomplete() {
         return this == HEAD_HALF_READ || this == BODY_HALF_READ;
     }
 
--- a/lab/src/main/java/hookweir/lab/lives/RandomStops.java
+++ b/lab/src/main/java/hookweir/lab/lives/RandomStops.java
@@ -26,11 +26,11 @@
 public final class RandomStops extends Main.Command {
     private static final int WORKERS = 5;
     private static final int SERVICE_MS = 20;
-    private static final int LEAST_MS = 30;
-    private static final int SPREAD_MS = 400;
+    private static final int MIN_INTERVAL_MS = 30;
+    private static final int INTERVAL_SPREAD_MS = 400;
     /** New connections come for 0.2 to 0.4 s after SIGTERM. */
-    private static final int FRONT_MS = 200;
-    private static final long SETTLE_MS = 10_000;
+    private static final int MIN_CONNECTING_AFTER_TERM_MS = 200;
+    private static final long SETTLE_TIMEOUT_MS = 10_000;
 
     @Option(name = "--root", usage = "the folder with deploy/balancer.toml")
     private String root = ".";
@@ -39,15 +39,15 @@
     @Option(name = "--stops", usage = "so many")
     private int stops = 500;
     @Option(name = "--clients", usage = "of each of two classes, one that may be repeated and one that must never run twice")
-    private int clients = 16;
+    private int clientsPerClass = 16;
     @Option(name = "--by", metaVar = "STOP", handler = StringArrayOptionHandler.class,
         usage = "kill, term and error, by which the next life comes after; or successor alone, by which it comes beside")
-    private String[] by = {"kill", "term", "error"};
+    private String[] stopNames = {"kill", "term", "error"};
     @Option(name = "--out", usage = "where the history is written")
     private String out = "target/random-stops.jsonl";
 
     /** How far a job that was lost had come, as seen from outside. */
-    private enum Far { NOT_SENT_ON, AT_A_WORKER, ENDED_BY_ITS_WORKER }
+    private enum Progress { NOT_SENT_ON, AT_A_WORKER, ENDED_BY_ITS_WORKER }
 
     /** For tests: so many stops of these kinds, with so many clients of each class. */
     static RandomStops of(String root, Path out, int stops, int clients, String... by) {
@@ -55,14 +55,14 @@
         r.root = root;
         r.out = out.toString();
         r.stops = stops;
-        r.clients = clients;
-        r.by = by;
+        r.clientsPerClass = clients;
+        r.stopNames = by;
         return r;
     }
 
-    private List<Stop> kinds() throws IOException {
+    private List<Stop> stopKinds() throws IOException {
         List<Stop> kinds = new ArrayList<>();
-        for (String b : by) {
+        for (String b : stopNames) {
             try {
                 kinds.add(Stop.valueOf(b.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
@@ -77,14 +77,14 @@
 
     @Override
     protected int run() throws IOException, InterruptedException {
-        List<Stop> kinds = kinds();
+        List<Stop> kinds = stopKinds();
         Path history = Path.of(out).toAbsolutePath();
         Files.createDirectories(history.getParent());
         Path folder = Files.createTempDirectory("hw-stops");
         Map<Stop, Integer> done = new EnumMap<>(Stop.class);
         String fault;
         try (Recorder witness = new Recorder(history, Scenario.terms()); Reactor workers = new Reactor("workers");
-                Reactor asking = new Reactor("clients"); Holder shared = kinds.contains(Stop.SUCCESSOR) ? new Holder() : null) {
+                Reactor asking = new Reactor("clients"); ListeningSocketHolder shared = kinds.contains(Stop.SUCCESSOR) ? new ListeningSocketHolder() : null) {
             Fleet fleet = new Fleet(workers, WORKERS, 64, SERVICE_MS * 1_000_000L, 2, false, witness);
             int port = shared == null ? Ports.free() : shared.port();
             fleet.tells(Fleet.local(port));
@@ -97,72 +97,72 @@
             System.out.println("not judged, " + fault);
             return 1;
         }
-        return judge(history, done);
+        return checkHistory(history, done);
     }
 
-    private void stops(Recorder witness, Reactor asking, Holder shared, Path folder, int port, List<Stop> kinds, Map<Stop, Integer> done)
+    private void stops(Recorder witness, Reactor asking, ListeningSocketHolder shared, Path folder, int port, List<Stop> kinds, Map<Stop, Integer> done)
             throws IOException, InterruptedException {
         Random random = new Random(seed);
         boolean debugged = kinds.contains(Stop.ERROR);
-        Life life = Life.start(Path.of(root), folder, shared, port, 1, debugged, witness);
+        SchedulerProcess life = SchedulerProcess.start(Path.of(root), folder, shared, port, 1, debugged, witness);
         life.awaitReady();
-        List<Clients> all = List.of(asks(asking, port, "live-status", witness), asks(asking, port, "billing-post", witness));
+        List<Clients> all = List.of(startClients(asking, port, "live-status", witness), startClients(asking, port, "billing-post", witness));
         try {
             for (int i = 1; i <= stops; i++) {
-                Thread.sleep(LEAST_MS + random.nextInt(SPREAD_MS));
+                Thread.sleep(MIN_INTERVAL_MS + random.nextInt(INTERVAL_SPREAD_MS));
                 Stop stop = kinds.get(random.nextInt(kinds.size()));
                 done.merge(stop, 1, Integer::sum);
                 if (stop == Stop.SUCCESSOR) {
-                    Life next = Life.start(Path.of(root), folder, shared, port, i + 1, debugged, witness);
+                    SchedulerProcess next = SchedulerProcess.start(Path.of(root), folder, shared, port, i + 1, debugged, witness);
                     next.awaitReady();
-                    life.term();
-                    life.left();
+                    life.terminate();
+                    life.awaitExit();
                     life = next;
                     continue;
                 }
                 if (stop == Stop.TERM) {
-                    life.term();
-                    Thread.sleep(FRONT_MS + random.nextInt(FRONT_MS));
+                    life.terminate();
+                    Thread.sleep(MIN_CONNECTING_AFTER_TERM_MS + random.nextInt(MIN_CONNECTING_AFTER_TERM_MS));
                     all.forEach(c -> c.connects(false));
-                    life.left();
+                    life.awaitExit();
                 } else {
                     all.forEach(c -> c.resends(false));
                     if (stop == Stop.KILL) {
                         life.kill();
                     } else {
-                        life.strike();
+                        life.throwErrorInLoop();
                     }
                 }
-                life = Life.start(Path.of(root), folder, shared, port, i + 1, debugged, witness);
+                life = SchedulerProcess.start(Path.of(root), folder, shared, port, i + 1, debugged, witness);
                 life.awaitReady();
                 all.forEach(c -> {
                     c.resends(true);
                     c.connects(true);
                 });
             }
-            long end = System.currentTimeMillis() + SETTLE_MS;
+            long end = System.currentTimeMillis() + SETTLE_TIMEOUT_MS;
             for (Clients c : all) {
                 while (!c.ends() && System.currentTimeMillis() < end) {
                     Thread.sleep(20);
                 }
             }
-            life.term();
-            life.left();
+            life.terminate();
+            life.awaitExit();
         } finally {
-            life.discard();
+            life.destroy();
         }
     }
 
-    private Clients asks(Reactor asking, int port, String kind, Recorder witness) {
-        Clients c = new Clients(asking, Fleet.local(port), new Clients.Plan(clients, 0, 16, Asker.DEADLINE_MS, kind), kind.substring(0, 1) + "-", witness);
+    private Clients startClients(Reactor asking, int port, String kind, Recorder witness) {
+        Clients c = new Clients(asking, Fleet.local(port), new Clients.Plan(clientsPerClass, 0, 16, PausableClient.DEADLINE_MS, kind), kind.substring(0, 1) + "-", witness);
         c.start();
         return c;
     }
 
-    private int judge(Path history, Map<Stop, Integer> done) throws IOException {
+    private int checkHistory(Path history, Map<Stop, Integer> done) throws IOException {
         RuleChecker c;
-        Map<String, Far> far = new HashMap<>();
-        Map<Far, Integer> lost = new EnumMap<>(Far.class);
+        Map<String, Progress> far = new HashMap<>();
+        Map<Progress, Integer> lost = new EnumMap<>(Progress.class);
         Map<Integer, Integer> answers = new HashMap<>();
         int asked = 0;
         try (HistoryReader in = HistoryReader.open(history)) {
@@ -172,11 +172,11 @@
                 switch (e.type()) {
                     case ASK -> {
                         asked++;
-                        far.put(e.id(), Far.NOT_SENT_ON);
+                        far.put(e.id(), Progress.NOT_SENT_ON);
                     }
                     case AGAIN -> lost.computeIfPresent(far.get(e.id()), (f, n) -> n - 1);
-                    case ATTEMPT -> far.computeIfPresent(e.id(), (id, f) -> Far.AT_A_WORKER);
-                    case END -> far.computeIfPresent(e.id(), (id, f) -> Far.ENDED_BY_ITS_WORKER);
+                    case ATTEMPT -> far.computeIfPresent(e.id(), (id, f) -> Progress.AT_A_WORKER);
+                    case END -> far.computeIfPresent(e.id(), (id, f) -> Progress.ENDED_BY_ITS_WORKER);
                     case CUT -> lost.merge(far.get(e.id()), 1, Integer::sum);
                     case ANSWER -> {
                         answers.merge((int) e.number(), 1, Integer::sum);
--- a/lab/src/main/java/hookweir/lab/lives/Scenario.java
+++ b/lab/src/main/java/hookweir/lab/lives/Scenario.java
@@ -27,51 +27,51 @@
  */
 record Scenario(Path root, Point point, Stop stop, String kind) {
     static final List<String> KINDS = List.of("live-status", "billing-post", "load-order");
-    private static final String WATCHED = "w1";
-    private static final long TERM_MS = 3700;
-    private static final long REACH_S = 20;
-    private static final long GRAIN_MS = 20;
+    private static final String JOB_ID = "w1";
+    private static final long KILL_AFTER_TERM_MS = 3700;
+    private static final long REACH_TIMEOUT_S = 20;
+    private static final long RECORDER_RESOLUTION_MS = 20;
 
     /**
      * What came of it.
      *
-     * @param end      of the job that was under way
-     * @param later    new jobs that the next life served, of those asked
-     * @param breaches of the rules over both lives
+     * @param outcome      of the job that was under way
+     * @param servedByNext    new jobs that the next life served, of those asked
+     * @param violations of the rules over both lives
      */
-    record Result(Scenario scenario, Asker.End end, String later, List<RuleChecker.Violation> breaches) {
+    record Result(Scenario scenario, PausableClient.Outcome outcome, String servedByNext, List<RuleChecker.Violation> violations) {
     }
 
     static RuleLimits terms() {
         RuleLimits b = RuleLimits.defaults();
         return new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)), b.maxAttempts(),
-            b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(), b.coldFactor(), b.coldWindowMs(), GRAIN_MS);
+            b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(), b.coldFactor(), b.coldWindowMs(), RECORDER_RESOLUTION_MS);
     }
 
     /** The configuration of a scheduler of three classes, one of each effect, and two data centres. */
-    static String config(int discovery, String known) {
+    static String config(int listServicePort, String knownServers) {
         String classes = "";
         String[] effects = {"read_like", "non_idempotent", "idempotency_key"};
         for (int i = 0; i < effects.length; i++) {
-            classes += (i == 0 ? "" : ",") + "{'name':'" + KINDS.get(i) + "','aim_us':3000000,'deadline_us':" + Asker.DEADLINE_MS * 1000
+            classes += (i == 0 ? "" : ",") + "{'name':'" + KINDS.get(i) + "','aim_us':3000000,'deadline_us':" + PausableClient.DEADLINE_MS * 1000
                 + ",'semantics':'" + effects[i] + "','key_scope':'zone','window_us':40000000}";
         }
-        return ("{'name':'" + Life.NAME + "','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + discovery + "','seed':'1','limits':{'sockets':256},"
-            + "'known':").replace('\'', '"') + known + (",'settings':{'classes':[" + classes + "],'zones':['a','b'],'kinds':['m'],'discovery':'ask',"
+        return ("{'name':'" + SchedulerProcess.SCHEDULER_NAME + "','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + listServicePort + "','seed':'1','limits':{'sockets':256},"
+            + "'known':").replace('\'', '"') + knownServers + (",'settings':{'classes':[" + classes + "],'zones':['a','b'],'kinds':['m'],'discovery':'ask',"
             + "'rules':{'ask_within_us':10000000,'drain_grace_us':250000},'stats':{'via':'pull','fields':['x0']},"
             + "'limits':{'max_attempts':5,'probes':true,'cancel':true,'retry_after':true,'max_retry_after_us':1000000,"
             + "'dial_timeout_us':1000000,'conn_idle_us':10000000}}}").replace('\'', '"');
     }
 
     /** Plays it. */
-    Result play() throws IOException, InterruptedException {
+    Result run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("hw-lives");
         Path history = folder.resolve("history.jsonl");
         try (Recorder witness = new Recorder(history, terms());
-                Holder shared = point.handOver() || stop == Stop.SUCCESSOR ? new Holder() : null) {
-            Result r = new Play(folder, witness, shared).all();
+                ListeningSocketHolder socketHolder = point.needsSecondProcess() || stop == Stop.SUCCESSOR ? new ListeningSocketHolder() : null) {
+            Result r = new Run(folder, witness, socketHolder).execute();
             witness.finish();
-            return new Result(this, r.end, r.later, RuleChecker.check(History.read(history)));
+            return new Result(this, r.outcome, r.servedByNext, RuleChecker.check(History.read(history)));
         } catch (IOException e) {
             throw new IOException(point + ", " + stop + ", " + kind + ": " + e.getMessage(), e);
         } finally {
@@ -82,81 +82,81 @@
     }
 
     /** The stage of one play. */
-    private final class Play {
+    private final class Run {
         private final Path folder;
         private final Recorder witness;
-        private final Holder shared;
+        private final ListeningSocketHolder socketHolder;
         private final int port;
-        private Workers workers;
-        private ListService list;
-        private Life first;
-        private Life second;
-        private Asker client;
+        private StubWorkerPair workers;
+        private StubListService listService;
+        private SchedulerProcess first;
+        private SchedulerProcess second;
+        private PausableClient client;
 
-        Play(Path folder, Recorder witness, Holder shared) throws IOException {
+        Run(Path folder, Recorder witness, ListeningSocketHolder shared) throws IOException {
             this.folder = folder;
             this.witness = witness;
-            this.shared = shared;
+            this.socketHolder = shared;
             port = shared == null ? Ports.free() : shared.port();
         }
 
-        private Life life(int number) throws IOException {
-            return Life.start(root, folder, shared, port, number, stop == Stop.ERROR && number == 1, witness);
+        private SchedulerProcess startProcess(int number) throws IOException {
+            return SchedulerProcess.start(root, folder, socketHolder, port, number, stop == Stop.ERROR && number == 1, witness);
         }
 
         private static void await(CountDownLatch latch, String what) throws IOException, InterruptedException {
-            if (!latch.await(REACH_S, TimeUnit.SECONDS)) {
-                throw new IOException(what + " within " + REACH_S + " s");
+            if (!latch.await(REACH_TIMEOUT_S, TimeUnit.SECONDS)) {
+                throw new IOException(what + " within " + REACH_TIMEOUT_S + " s");
             }
         }
 
-        Result all() throws IOException, InterruptedException {
-            try (Workers w = new Workers(point, WATCHED, port, witness); ListService l = new ListService(w, witness)) {
+        Result execute() throws IOException, InterruptedException {
+            try (StubWorkerPair w = new StubWorkerPair(point, JOB_ID, port, witness); StubListService l = new StubListService(w, witness)) {
                 workers = w;
-                list = l;
-                configure();
-                first = life(1);
+                listService = l;
+                writeConfiguration();
+                first = startProcess(1);
                 first.awaitReady();
-                reach();
-                end();
+                reachPoint();
+                stopAtPoint();
                 if (second == null) {
-                    configure();
-                    second = life(2);
+                    writeConfiguration();
+                    second = startProcess(2);
                     second.awaitReady();
                 }
-                letGo();
-                return rest();
+                resumeStubs();
+                return runNewJobsAndStop();
             } finally {
                 if (first != null) {
-                    first.discard();
+                    first.destroy();
                 }
                 if (second != null) {
-                    second.discard();
+                    second.destroy();
                 }
             }
         }
 
         /** The list in it is as the scheduler had it last. */
-        private void configure() throws IOException {
-            Files.writeString(folder.resolve("config.json"), config(list.port(), list.list()));
+        private void writeConfiguration() throws IOException {
+            Files.writeString(folder.resolve("config.json"), config(listService.port(), listService.listJson()));
         }
 
         /** Brings the first life to the point. */
-        private void reach() throws IOException, InterruptedException {
-            if (point.halfAsked() && stop == Stop.SUCCESSOR) {
+        private void reachPoint() throws IOException, InterruptedException {
+            if (point.isRequestIncomplete() && stop == Stop.SUCCESSOR) {
                 // A request must be whole 2.5 s after its first byte, and a process may take longer to start: it waits for its list.
-                list.holds();
-                second = life(2);
+                listService.holdResponses();
+                second = startProcess(2);
                 second.awaitLog("serves on port");
             }
-            client = new Asker(port, WATCHED, kind, point, witness);
-            boolean byClient = point.halfAsked() || point == Point.ANSWER_HALF_WRITTEN;
+            client = new PausableClient(port, JOB_ID, kind, point, witness);
+            boolean byClient = point.isRequestIncomplete() || point == Point.ANSWER_HALF_WRITTEN;
             if (point != Point.DIALLING) {
-                await(byClient ? client.reached : workers.reached, "the point was not reached");
+                await(byClient ? client.pointReached : workers.pointReached, "the point was not reached");
             }
-            Life.ask(port, "/healthz"); // whatever was written before has been read when this is answered
+            SchedulerProcess.getStatus(port, "/healthz"); // whatever was written before has been read when this is answered
             switch (point) {
-                case LIST_MID_LINE -> list.drainsInMidLine();
+                case LIST_MID_LINE -> listService.drainSecondMidLine();
                 case CONFIGURATION_HALF_WRITTEN -> {
                     String whole = Files.readString(folder.resolve("config.json"));
                     Files.writeString(folder.resolve("config.json"), whole.substring(0, whole.length() / 2));
@@ -164,94 +164,94 @@
                     first.awaitLog("the configuration stays as it was");
                 }
                 case SUCCESSOR_WAITS_FOR_LIST -> {
-                    list.holds();
-                    second = life(2);
-                    list.awaitAsked();
+                    listService.holdResponses();
+                    second = startProcess(2);
+                    listService.awaitRequest();
                 }
                 case SUCCESSOR_SERVES -> {
-                    second = life(2);
+                    second = startProcess(2);
                     second.awaitReady();
                 }
                 case CALL_BACK_BETWEEN_PROCESSES -> {
-                    second = life(2);
+                    second = startProcess(2);
                     second.awaitReady();
                     first.signal("STOP");
-                    workers.letGo.countDown();
+                    workers.resumed.countDown();
                     second.awaitLog("another process serves here");
-                    Life.ask(port, "/healthz"); // its loop goes on while the first one owes it a verdict
+                    SchedulerProcess.getStatus(port, "/healthz"); // its loop goes on while the first one owes it a verdict
                 }
                 default -> { }
             }
         }
 
         /** Stops it there. */
-        private void end() throws IOException, InterruptedException {
+        private void stopAtPoint() throws IOException, InterruptedException {
             switch (stop) {
                 case KILL -> first.kill();
-                case ERROR -> first.strike();
+                case ERROR -> first.throwErrorInLoop();
                 case TERM -> {
-                    first.term();
-                    letGo();
-                    first.left();
+                    first.terminate();
+                    resumeStubs();
+                    first.awaitExit();
                 }
                 case TERM_THEN_KILL -> {
                     long termed = System.nanoTime();
-                    first.term();
-                    Thread.sleep(Math.max(0, TERM_MS + 20 - (System.nanoTime() - termed) / 1_000_000));
+                    first.terminate();
+                    Thread.sleep(Math.max(0, KILL_AFTER_TERM_MS + 20 - (System.nanoTime() - termed) / 1_000_000));
                     if (first.isAlive()) {
                         first.kill();
                     } else {
-                        first.left();
+                        first.awaitExit();
                     }
                 }
                 case SUCCESSOR -> {
                     if (second == null) {
-                        configure();
-                        second = life(2);
+                        writeConfiguration();
+                        second = startProcess(2);
                     }
-                    list.letsGo();
+                    listService.releaseResponses();
                     second.awaitReady();
-                    first.term();
-                    letGo();
-                    first.left();
+                    first.terminate();
+                    resumeStubs();
+                    first.awaitExit();
                 }
                 case KILL_SUCCESSOR -> {
                     second.kill();
                     if (point == Point.CALL_BACK_BETWEEN_PROCESSES) {
                         first.signal("CONT");
                     }
-                    Life last = second;
+                    SchedulerProcess last = second;
                     second = first;
                     first = last;
                     second.awaitReady();
                 }
                 default -> throw new IllegalStateException(stop.toString());
             }
-            list.letsGo();
+            listService.releaseResponses();
         }
 
-        private void letGo() {
-            if (point.halfAsked() && stop != Stop.TERM && stop != Stop.SUCCESSOR) {
-                client.giveUp();
+        private void resumeStubs() {
+            if (point.isRequestIncomplete() && stop != Stop.TERM && stop != Stop.SUCCESSOR) {
+                client.abandon();
             }
-            client.goOn();
-            workers.letGo.countDown();
+            client.resume();
+            workers.resumed.countDown();
         }
 
         /** New jobs of all classes; then the last life is left to end as planned. */
-        private Result rest() throws IOException, InterruptedException {
+        private Result runNewJobsAndStop() throws IOException, InterruptedException {
             second.awaitReady();
             int served = 0;
             for (String k : KINDS) {
-                served += new Asker(port, "n-" + k, k, null, witness).end() == Asker.End.SERVED ? 1 : 0;
+                served += new PausableClient(port, "n-" + k, k, null, witness).awaitOutcome() == PausableClient.Outcome.SERVED ? 1 : 0;
             }
-            Asker.End end = client.end();
-            boolean calls = point != Point.DIALLING && point != Point.TAKEN_NOT_DRAWN && !point.halfAsked();
+            PausableClient.Outcome end = client.awaitOutcome();
+            boolean calls = point != Point.DIALLING && point != Point.TAKEN_NOT_DRAWN && !point.isRequestIncomplete();
             if (calls) {
-                await(workers.told, "the worker's call-back got no end");
+                await(workers.callbackDone, "the worker's call-back got no end");
             }
-            second.term();
-            second.left();
+            second.terminate();
+            second.awaitExit();
             return new Result(Scenario.this, end, served + " of " + KINDS.size(), List.of());
         }
     }
--- a/lab/src/main/java/hookweir/lab/lives/Life.java
+++ b/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
@@ -22,23 +22,23 @@
 import java.util.concurrent.TimeoutException;
 
 /** One process of the scheduler, started by the line 'run' of deploy/balancer.toml, and its end. */
-final class Life {
-    static final String NAME = Fleet.SCHEDULER;
-    private static final long READY_MS = 30_000;
-    private static final long DEAD_S = 20;
+final class SchedulerProcess {
+    static final String SCHEDULER_NAME = Fleet.SCHEDULER;
+    private static final long STATE_TIMEOUT_MS = 30_000;
+    private static final long EXIT_TIMEOUT_S = 20;
 
     private final ProcessHandle process;
     private final EventSink witness;
-    private final String as;
-    private final int port;
+    private final String historyName;
+    private final int adminPort;
     private final int debugPort;
     private final Path log;
 
-    private Life(ProcessHandle process, EventSink witness, String as, int port, int debugPort, Path log) {
+    private SchedulerProcess(ProcessHandle process, EventSink witness, String as, int port, int debugPort, Path log) {
         this.process = process;
         this.witness = witness;
-        this.as = as;
-        this.port = port;
+        this.historyName = as;
+        this.adminPort = port;
         this.debugPort = debugPort;
         this.log = log;
         witness.accept(Event.of(Type.LIFE, "", "", as).how("start"));
@@ -50,45 +50,45 @@
      * @param number of this life among those of the scheduler, from 1
      * @param debugged an Error can be thrown in its loop
      */
-    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, EventSink witness) throws IOException {
-        return start(root, folder, shared, port, number, debugged, witness, Map.of());
+    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged, EventSink witness) throws IOException {
+        return start(root, folder, socketHolder, port, number, debugged, witness, Map.of());
     }
 
-    /** As {@link #start(Path, Path, Holder, int, int, boolean, EventSink)}, with further variables in its environment. */
-    static Life start(Path root, Path folder, Holder shared, int port, int number, boolean debugged, EventSink witness,
-            Map<String, String> variables) throws IOException {
+    /** As {@link #start(Path, Path, ListeningSocketHolder, int, int, boolean, EventSink)}, with further variables in its environment. */
+    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged, EventSink witness,
+            Map<String, String> extraEnvironment) throws IOException {
         int debugPort = debugged ? Ports.free() : 0;
-        String run = debugged ? Target.runLine(root).replace(" -jar ", " " + Debugger.flag(debugPort) + " -jar ") : Target.runLine(root);
-        Map<String, String> env = new TreeMap<>(Map.of("RELAY_CONFIG", folder.resolve("config.json").toString(), "TMPDIR", folder.toString(),
+        String command = debugged ? Target.runLine(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ") : Target.runLine(root);
+        Map<String, String> environment = new TreeMap<>(Map.of("RELAY_CONFIG", folder.resolve("config.json").toString(), "TMPDIR", folder.toString(),
             "RELAY_LISTEN", "127.0.0.1:" + port, "RELAY_ADMIN_ADDR", "127.0.0.1:" + Ports.free()));
-        env.putAll(variables);
+        environment.putAll(extraEnvironment);
         Path log = folder.resolve("log" + number);
         ProcessHandle process;
-        if (shared == null) {
-            ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", "exec " + run).directory(root.toFile());
-            b.environment().putAll(env);
-            b.redirectErrorStream(true).redirectOutput(new File(log.toString()));
-            process = b.start().toHandle();
+        if (socketHolder == null) {
+            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "exec " + command).directory(root.toFile());
+            builder.environment().putAll(environment);
+            builder.redirectErrorStream(true).redirectOutput(new File(log.toString()));
+            process = builder.start().toHandle();
         } else {
-            StringBuilder told = new StringBuilder("cd '" + root.toAbsolutePath() + "' && RELAY_FD=0");
-            env.forEach((k, v) -> told.append(' ').append(k).append("='").append(v).append('\''));
-            process = shared.start(told + " exec " + run, log);
+            StringBuilder shellCommand = new StringBuilder("cd '" + root.toAbsolutePath() + "' && RELAY_FD=0");
+            environment.forEach((k, v) -> shellCommand.append(' ').append(k).append("='").append(v).append('\''));
+            process = socketHolder.start(shellCommand + " exec " + command, log);
         }
-        return new Life(process, witness, NAME + "/" + number, Integer.parseInt(env.get("RELAY_ADMIN_ADDR").substring(10)), debugPort, log);
+        return new SchedulerProcess(process, witness, SCHEDULER_NAME + "/" + number, Integer.parseInt(environment.get("RELAY_ADMIN_ADDR").substring(10)), debugPort, log);
     }
 
     /** Waits until it takes clients, as it tells operators. */
     void awaitReady() throws IOException, InterruptedException {
-        await("ready", () -> health() == 200);
+        awaitCondition("ready", () -> healthStatus() == 200);
     }
 
-    private interface Sign {
-        boolean seen() throws IOException;
+    private interface Condition {
+        boolean isMet() throws IOException;
     }
 
-    private void await(String what, Sign sign) throws IOException, InterruptedException {
-        for (long end = System.currentTimeMillis() + READY_MS; System.currentTimeMillis() < end && process.isAlive(); Thread.sleep(5)) {
-            if (sign.seen()) {
+    private void awaitCondition(String what, Condition condition) throws IOException, InterruptedException {
+        for (long end = System.currentTimeMillis() + STATE_TIMEOUT_MS; System.currentTimeMillis() < end && process.isAlive(); Thread.sleep(5)) {
+            if (condition.isMet()) {
                 return;
             }
         }
@@ -96,12 +96,12 @@
     }
 
     /** What it tells operators of itself; 0 where nobody answers. */
-    int health() {
-        return ask(port, "/admin/health");
+    int healthStatus() {
+        return getStatus(adminPort, "/admin/health");
     }
 
     /** A round trip through its loop: what was written to it before has been read. */
-    static int ask(int port, String path) {
+    static int getStatus(int port, String path) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(5000);
             OutputStream out = s.getOutputStream();
@@ -115,7 +115,7 @@
 
     /** Waits for a line of its log. */
     void awaitLog(String text) throws IOException, InterruptedException {
-        await("heard to say '" + text + "'", () -> Files.exists(log) && Files.readString(log).contains(text)); // a holder makes it late
+        awaitCondition("heard to say '" + text + "'", () -> Files.exists(log) && Files.readString(log).contains(text)); // a holder makes it late
     }
 
     /** All that it has logged so far. */
@@ -128,8 +128,8 @@
     }
 
     /** The process, as histories name it. */
-    String as() {
-        return as;
+    String historyName() {
+        return historyName;
     }
 
     void signal(String name) throws IOException, InterruptedException {
@@ -138,35 +138,35 @@
 
     /** SIGKILL, and its end. */
     void kill() throws IOException {
-        witness.accept(Event.of(Type.LIFE, "", "", as).how("kill"));
+        witness.accept(Event.of(Type.LIFE, "", "", historyName).how("kill"));
         process.destroyForcibly();
-        awaitEnd();
+        awaitProcessEnd();
     }
 
     /** An Error in its loop, which ends it: the deed of the rig, as a SIGKILL would be. */
-    void strike() throws IOException, InterruptedException {
-        Debugger.strike(debugPort, () -> witness.accept(Event.of(Type.LIFE, "", "", as).how("kill")));
-        awaitEnd();
+    void throwErrorInLoop() throws IOException, InterruptedException {
+        Debugger.throwErrorInLoop(debugPort, () -> witness.accept(Event.of(Type.LIFE, "", "", historyName).how("kill")));
+        awaitProcessEnd();
         if (!Files.readString(log).contains("the loop ended by")) {
             throw new IOException("an Error in the loop did not end the process as it should: " + Files.readString(log));
         }
     }
 
     /** SIGTERM. */
-    void term() throws IOException, InterruptedException {
-        witness.accept(Event.of(Type.LIFE, "", "", as).how("term"));
+    void terminate() throws IOException, InterruptedException {
+        witness.accept(Event.of(Type.LIFE, "", "", historyName).how("term"));
         signal("TERM");
     }
 
     /** Waits until it has ended by itself. */
-    void left() throws IOException {
-        awaitEnd();
-        witness.accept(Event.of(Type.LIFE, "", "", as).how("exit"));
+    void awaitExit() throws IOException {
+        awaitProcessEnd();
+        witness.accept(Event.of(Type.LIFE, "", "", historyName).how("exit"));
     }
 
-    private void awaitEnd() throws IOException {
+    private void awaitProcessEnd() throws IOException {
         try {
-            process.onExit().get(DEAD_S, TimeUnit.SECONDS);
+            process.onExit().get(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | CompletionException | TimeoutException e) {
@@ -175,7 +175,7 @@
     }
 
     /** Ends it if it still runs, in no history. */
-    void discard() {
+    void destroy() {
         process.destroyForcibly();
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/SoakPlan.java
+++ b/lab/src/main/java/hookweir/lab/lives/SoakPlan.java
@@ -20,26 +20,26 @@
  */
 record SoakPlan(long seed, int serviceMs, int clients, int loadMs, int crowd, int reloads, int gapMs, boolean hangs, int frontMs,
         List<String> signalsAfterTerm) {
-    private static final int MOST_SERVICE_MS = 600;
-    private static final int MOST_CLIENTS = 24;
-    private static final int MOST_LOAD_MS = 800;
-    private static final int CROWD = 220;
-    private static final int MOST_SIGNALS = 3;
-    private static final int MOST_GAP_MS = 150;
-    private static final int FRONT_MS = 200;
-    private static final double CROWDED = 0.4;
-    private static final double HANGING = 0.4;
+    private static final int SERVICE_SPREAD_MS = 600;
+    private static final int CLIENTS_SPREAD = 24;
+    private static final int LOAD_SPREAD_MS = 800;
+    private static final int IDLE_CONNECTIONS = 220;
+    private static final int SIGNALS_SPREAD = 3;
+    private static final int GAP_SPREAD_MS = 150;
+    private static final int MIN_CONNECTING_AFTER_TERM_MS = 200;
+    private static final double IDLE_CONNECTIONS_PROBABILITY = 0.4;
+    private static final double HANG_PROBABILITY = 0.4;
 
     /** The plan of this seed. */
     static SoakPlan of(long seed) {
         Random random = new Random(seed);
         List<String> signals = new ArrayList<>();
-        int more = random.nextInt(MOST_SIGNALS);
+        int more = random.nextInt(SIGNALS_SPREAD);
         for (int i = 0; i < more; i++) {
             signals.add(random.nextBoolean() ? "TERM" : "HUP");
         }
-        return new SoakPlan(seed, 5 + random.nextInt(MOST_SERVICE_MS), 2 + random.nextInt(MOST_CLIENTS), 200 + random.nextInt(MOST_LOAD_MS),
-            random.nextDouble() < CROWDED ? CROWD : 0, random.nextInt(MOST_SIGNALS), random.nextInt(MOST_GAP_MS), random.nextDouble() < HANGING,
-            FRONT_MS + random.nextInt(FRONT_MS), List.copyOf(signals));
+        return new SoakPlan(seed, 5 + random.nextInt(SERVICE_SPREAD_MS), 2 + random.nextInt(CLIENTS_SPREAD), 200 + random.nextInt(LOAD_SPREAD_MS),
+            random.nextDouble() < IDLE_CONNECTIONS_PROBABILITY ? IDLE_CONNECTIONS : 0, random.nextInt(SIGNALS_SPREAD), random.nextInt(GAP_SPREAD_MS), random.nextDouble() < HANG_PROBABILITY,
+            MIN_CONNECTING_AFTER_TERM_MS + random.nextInt(MIN_CONNECTING_AFTER_TERM_MS), List.copyOf(signals));
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Stop.java
+++ b/lab/src/main/java/hookweir/lab/lives/Stop.java
@@ -18,8 +18,8 @@
     KILL_SUCCESSOR;
 
     /** It can be tried at that point. */
-    boolean fits(Point at) {
-        return at.handOver() ? this == KILL || this == KILL_SUCCESSOR : this != KILL_SUCCESSOR;
+    boolean appliesTo(Point point) {
+        return point.needsSecondProcess() ? this == KILL || this == KILL_SUCCESSOR : this != KILL_SUCCESSOR;
     }
 
     @Override
--- a/lab/src/main/java/hookweir/lab/lives/TwoLives.java
+++ b/lab/src/main/java/hookweir/lab/lives/StopAndRestart.java
@@ -14,17 +14,17 @@
 import org.kohsuke.args4j.Option;
 
 /** Stops the real scheduler at every point in every way, and judges its two lives by one history each. */
-public final class TwoLives extends Main.Command {
+public final class StopAndRestart extends Main.Command {
     @Option(name = "--root", usage = "the folder with deploy/balancer.toml")
     private String root = ".";
     @Option(name = "--seed", usage = "of the order, and of the class of the job under way at each point")
     private long seed = 1;
     @Option(name = "--side-by-side", usage = "so many at once")
-    private int sideBySide = 4;
+    private int concurrency = 4;
     @Option(name = "--point", usage = "only this point, as the table names it")
-    private String only = "";
+    private String onlyPoint = "";
     @Option(name = "--classes", usage = "each point with every class, not with one by the seed")
-    private boolean classes;
+    private boolean everyClass;
 
     /** All scenarios, in a seeded order; each with a class by the seed, or with every one. */
     static List<Scenario> scenarios(Path root, long seed, boolean everyClass) {
@@ -32,7 +32,7 @@
         List<Scenario> all = new ArrayList<>();
         for (Point p : Point.values()) {
             for (Stop s : Stop.values()) {
-                if (s.fits(p)) {
+                if (s.appliesTo(p)) {
                     List<String> kinds = everyClass ? Scenario.KINDS : List.of(Scenario.KINDS.get(random.nextInt(Scenario.KINDS.size())));
                     kinds.forEach(k -> all.add(new Scenario(root, p, s, k)));
                 }
@@ -43,11 +43,11 @@
     }
 
     /** Plays them, so many at once; the results in their order. */
-    static List<Scenario.Result> play(List<Scenario> all, int sideBySide) throws IOException, InterruptedException {
+    static List<Scenario.Result> runAll(List<Scenario> all, int sideBySide) throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(sideBySide);
         try {
             List<Future<Scenario.Result>> played = new ArrayList<>();
-            all.forEach(s -> played.add(pool.submit(s::play)));
+            all.forEach(s -> played.add(pool.submit(s::run)));
             List<Scenario.Result> out = new ArrayList<>();
             for (Future<Scenario.Result> f : played) {
                 out.add(f.get());
@@ -62,9 +62,9 @@
 
     @Override
     protected int run() throws IOException, InterruptedException {
-        List<Scenario> all = scenarios(Path.of(root), seed, classes);
-        all.removeIf(s -> !only.isEmpty() && !s.point().toString().equals(only));
-        List<Scenario.Result> results = new ArrayList<>(play(all, sideBySide));
+        List<Scenario> all = scenarios(Path.of(root), seed, everyClass);
+        all.removeIf(s -> !onlyPoint.isEmpty() && !s.point().toString().equals(onlyPoint));
+        List<Scenario.Result> results = new ArrayList<>(runAll(all, concurrency));
         results.sort((a, b) -> a.scenario().point() != b.scenario().point() ? a.scenario().point().compareTo(b.scenario().point())
             : a.scenario().stop() != b.scenario().stop() ? a.scenario().stop().compareTo(b.scenario().stop())
             : a.scenario().kind().compareTo(b.scenario().kind()));
@@ -72,8 +72,8 @@
         int broken = 0;
         for (Scenario.Result r : results) {
             System.out.printf("%-28s %-15s %-13s %-10s %-7s %s%n", r.scenario().point(), r.scenario().stop(), r.scenario().kind(),
-                r.end().toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' '), r.later(), r.breaches().isEmpty() ? "none" : r.breaches());
-            broken += r.breaches().isEmpty() ? 0 : 1;
+                r.outcome().toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' '), r.servedByNext(), r.violations().isEmpty() ? "none" : r.violations());
+            broken += r.violations().isEmpty() ? 0 : 1;
         }
         System.out.println(results.size() + " pairs of lives, " + broken + " with a breach");
         return broken == 0 ? 0 : 1;
--- a/lab/src/test/java/hookweir/lab/lives/SoakTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SoakTest.java
@@ -18,7 +18,7 @@
     Path kept;
 
     @Test
-    void endsUnderLoadBreakNoRule() throws Exception {
+    void stopsUnderLoadViolateNoRule() throws Exception {
         assertEquals(0, Soak.of("..", kept.toString(), FIRST_SEED, SEEDS).run());
     }
 }
--- a/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
@@ -26,71 +26,71 @@
     private static final Path ROOT = Path.of("..");
     private static final int JOBS = 4;
     /** The news counts as told 6 s after the list service had it; the grace and the recorder's grain come on top. */
-    private static final long COUNTS_MS = 6_500;
+    private static final long UPDATE_BINDING_MS = 6_500;
 
     @TempDir
     Path folder;
     private Recorder witness;
-    private Workers workers;
-    private ListService list;
-    private Life life;
+    private StubWorkerPair workers;
+    private StubListService listService;
+    private SchedulerProcess scheduler;
     private int port;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         port = Ports.free();
         witness = new Recorder(folder.resolve("history.jsonl"), Scenario.terms());
-        workers = new Workers(Point.AFTER_202, "none", port, witness);
-        list = new ListService(workers, witness);
-        Files.writeString(folder.resolve("config.json"), Scenario.config(list.port(), list.list()));
+        workers = new StubWorkerPair(Point.AFTER_202, "none", port, witness);
+        listService = new StubListService(workers, witness);
+        Files.writeString(folder.resolve("config.json"), Scenario.config(listService.port(), listService.listJson()));
     }
 
     @AfterEach
-    void end() throws IOException {
-        if (life != null) {
-            life.discard();
+    void tearDown() throws IOException {
+        if (scheduler != null) {
+            scheduler.destroy();
         }
         workers.close();
-        list.close();
+        listService.close();
     }
 
-    private void startLife(int number) throws IOException, InterruptedException {
-        life = Life.start(ROOT, folder, null, port, number, false, witness);
-        life.awaitReady();
+    private void startScheduler(int number) throws IOException, InterruptedException {
+        scheduler = SchedulerProcess.start(ROOT, folder, null, port, number, false, witness);
+        scheduler.awaitReady();
     }
 
     /** Jobs with too little time to wait for the list service: each has to be refused, and none sent. */
-    private void askInVain() throws IOException, InterruptedException {
+    private void assertJobsRejected() throws IOException, InterruptedException {
         for (int i = 0; i < JOBS; i++) {
-            assertEquals(Asker.End.REFUSED, new Asker(port, "late-" + i, "live-status", null, witness).end());
+            assertEquals(PausableClient.Outcome.REFUSED, new PausableClient(port, "late-" + i, "live-status", null, witness).awaitOutcome());
         }
     }
 
-    private void assertKept() throws Exception {
-        life.kill();
+    private void assertNoViolations() throws Exception {
+        scheduler.kill();
         witness.finish();
         List<RuleChecker.Violation> breaches = RuleChecker.check(History.read(folder.resolve("history.jsonl")));
         assertTrue(breaches.isEmpty(), breaches.toString());
     }
 
     @Test
-    void aProcessThatLostItsWatchSendsNothingByItsOldList() throws Exception {
-        startLife(1);
-        assertEquals(Asker.End.SERVED, new Asker(port, "early", "live-status", null, witness).end());
-        list.drainsAllWhileBusy();
-        Thread.sleep(COUNTS_MS);
-        askInVain();
-        assertKept();
+    void processThatLostItsWatchSendsNothingByItsStaleList() throws Exception {
+        startScheduler(1);
+        assertEquals(PausableClient.Outcome.SERVED, new PausableClient(port, "early", "live-status", null, witness).awaitOutcome());
+        listService.drainAllWhileOverloaded();
+        Thread.sleep(UPDATE_BINDING_MS);
+        assertJobsRejected();
+        assertNoViolations();
     }
 
     @Test
-    void aProcessThatStartsSendsNothingByTheListAsLastHeld() throws Exception {
-        startLife(1);
-        life.kill();
-        list.drainsAllWhileBusy();
-        startLife(2);
-        Thread.sleep(COUNTS_MS);
-        askInVain();
-        assertKept();
+    void restartedProcessSendsNothingByItsCachedList() throws Exception {
+        startScheduler(1);
+        scheduler.kill();
+        listService.drainAllWhileOverloaded();
+        startScheduler(2);
+        Thread.sleep(UPDATE_BINDING_MS);
+        assertJobsRejected();
+        assertNoViolations();
     }
 }
