--- a/lab/src/main/java/hookweir/lab/lives/BlockingHttp.java
+++ b/lab/src/main/java/hookweir/lab/lives/BlockingHttp.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** HTTP/1.1 messages on plain blocking sockets, in parts where a scenario wants that. */
+/** Reads and writes HTTP/1.1 messages on blocking sockets; a message can be written in parts. */
 final class BlockingHttp {
-    /** A whole message. */
+    /** A complete message: its start line and headers, and its body. */
     record Message(String head, byte[] body) {
         String startLine() {
             return head.substring(0, head.indexOf("\r\n"));
@@ -19,34 +19,34 @@
     private BlockingHttp() {
     }
 
-    static void write(Socket s, byte[] bytes) throws IOException {
-        s.getOutputStream().write(bytes);
-        s.getOutputStream().flush();
+    static void write(Socket socket, byte[] bytes) throws IOException {
+        socket.getOutputStream().write(bytes);
+        socket.getOutputStream().flush();
     }
 
-    static void write(Socket s, String text) throws IOException {
-        write(s, text.getBytes(StandardCharsets.ISO_8859_1));
+    static void write(Socket socket, String text) throws IOException {
+        write(socket, text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next message whole; null where the connection ends before its first byte, EOFException where it does within. */
+    /** Reads the next complete message; returns null if the connection ends before its first byte, and throws EOFException if it ends within. */
     static Message readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         String text;
         do {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 if (head.size() == 0) {
                     return null;
                 }
-                throw new EOFException("ended within a head");
+                throw new EOFException("connection ended within a message head");
             }
-            head.write(b);
-            text = b == '\n' ? head.toString(StandardCharsets.ISO_8859_1) : "";
+            head.write(next);
+            text = next == '\n' ? head.toString(StandardCharsets.ISO_8859_1) : "";
         } while (!text.endsWith("\r\n\r\n"));
         String length = header(text, "Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
         if (length != null && body.length < Integer.parseInt(length)) {
-            throw new EOFException("ended within a body");
+            throw new EOFException("connection ended within a message body");
         }
         return new Message(text, body);
     }
--- a/lab/src/main/java/hookweir/lab/lives/Debugger.java
+++ b/lab/src/main/java/hookweir/lab/lives/Debugger.java
@@ -17,39 +17,44 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Throws an Error in a scheduler's loop from outside, by the JDK's own debugging interface, when it next takes an event. */
+/** Throws an Error in a scheduler's event loop from another process, through the Java Debug Interface, when the loop handles its next event. */
 final class Debugger {
-    /** The event handler of the loop; the one name of the scheduler's inside that is used here. */
+    /** The class and method of the loop's event handler: the only internal names of the scheduler that are used here. */
     private static final String LOOP_CLASS = "hookweir.net.Loop";
     private static final String LOOP_METHOD = "now";
 
     private Debugger() {
     }
 
-    /** The flag with which a scheduler has to be started for it. */
+    /** The JVM flag that lets {@link #throwErrorInLoop} attach to a scheduler. */
     static String jvmFlag(int port) {
         return "-agentlib:jdwp=transport=dt_socket,server=y,suspend=n,quiet=y,address=127.0.0.1:" + port;
     }
 
-    /** Throws it; returns once it is thrown. The task runs when all is ready for that, just before. */
+    /**
+     * Throws the Error and returns once it has been thrown.
+     *
+     * @param beforeThrow runs when the breakpoint is ready, just before it is enabled
+     */
     static void throwErrorInLoop(int port, Runnable beforeThrow) throws IOException, InterruptedException {
         AttachingConnector connector = Bootstrap.virtualMachineManager().attachingConnectors().stream()
-            .filter(c -> c.transport().name().equals("dt_socket")).findFirst().orElseThrow(() -> new IOException("this JDK has no debugger"));
+            .filter(c -> c.transport().name().equals("dt_socket")).findFirst()
+            .orElseThrow(() -> new IOException("this JDK has no socket-attaching debugger connector"));
         Map<String, Connector.Argument> arguments = connector.defaultArguments();
         arguments.get("hostname").setValue("127.0.0.1");
         arguments.get("port").setValue(Integer.toString(port));
         try {
             VirtualMachine vm = connector.attach(arguments);
             ReferenceType loop = vm.classesByName(LOOP_CLASS).get(0);
-            ObjectReference error = vm.classesByName("java.lang.OutOfMemoryError").get(0).instances(1).get(0); // the JVM keeps some ready
+            ObjectReference error = vm.classesByName("java.lang.OutOfMemoryError").get(0).instances(1).get(0); // the JVM preallocates some
             BreakpointRequest breakpoint = vm.eventRequestManager().createBreakpointRequest(loop.methodsByName(LOOP_METHOD).get(0).location());
             breakpoint.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
             beforeThrow.run();
             breakpoint.enable();
             while (true) {
                 EventSet events = vm.eventQueue().remove();
-                for (Event e : events) {
-                    if (e instanceof BreakpointEvent hit) {
+                for (Event event : events) {
+                    if (event instanceof BreakpointEvent hit) {
                         breakpoint.disable();
                         hit.thread().stop(error);
                         events.resume();
@@ -60,9 +65,9 @@
                 events.resume();
             }
         } catch (VMDisconnectedException e) {
-            return; // it died of it sooner than the debugger left
+            return; // the process ended before the debugger detached
         } catch (IllegalConnectorArgumentsException | InvalidTypeException e) {
-            throw new IOException("the debugger could not strike: " + e, e);
+            throw new IOException("the debugger could not throw an Error in the loop: " + e, e);
         }
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/IdleConnections.java
+++ b/lab/src/main/java/hookweir/lab/lives/IdleConnections.java
@@ -7,13 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Connections that say nothing, as many as fill a scheduler's descriptors. */
+/** Open connections that send nothing, used to exhaust a scheduler's file descriptors. */
 final class IdleConnections implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 200;
 
     private final List<Socket> connections = new ArrayList<>();
 
-    /** Opens so many connections, or as many as come up. */
+    /** Opens {@code count} connections, or fewer if a connection attempt fails. */
     IdleConnections(int port, int count) throws IOException {
         for (int i = 0; i < count; i++) {
             Socket connection = new Socket();
@@ -21,7 +21,7 @@
             try {
                 connection.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_TIMEOUT_MS);
             } catch (IOException e) {
-                return; // the rest would wait as well
+                return; // further attempts would time out as well
             }
         }
     }
--- a/lab/src/main/java/hookweir/lab/lives/ListeningSocketHolder.java
+++ b/lab/src/main/java/hookweir/lab/lives/ListeningSocketHolder.java
@@ -8,8 +8,9 @@
 import java.nio.file.Path;
 
 /**
- * Stands for a platform that holds a scheduler's listening socket and hands it on as descriptor 0, which the class library
- * can't do for a child: a few lines of Perl, which every Debian has. The socket lives as long as the holder.
+ * Simulates a platform that owns a scheduler's listening socket and passes it to each process as descriptor 0. The Java class
+ * library can't pass a socket to a child process, so a short Perl script does it (every Debian installation has Perl). The socket
+ * stays open until the holder is closed.
  */
 final class ListeningSocketHolder implements AutoCloseable {
     private static final String PERL_SCRIPT = String.join("\n",
@@ -36,7 +37,7 @@
     private int readNumber() throws IOException {
         String line = output.readLine();
         if (line == null) {
-            throw new IOException("the holder of the listening socket ended (is perl there?)");
+            throw new IOException("the process that holds the listening socket ended (is perl installed?)");
         }
         return Integer.parseInt(line.strip());
     }
@@ -45,12 +46,12 @@
         return port;
     }
 
-    /** Starts a command with the listening socket as its descriptor 0; its process. */
+    /** Starts a command with the listening socket as its descriptor 0 and returns its process. */
     ProcessHandle start(String command, Path log) throws IOException {
         input.write(log + "\t" + command + "\n");
         input.flush();
         int pid = readNumber();
-        return ProcessHandle.of(pid).orElseThrow(() -> new IOException("process " + pid + " ended at once, see " + log));
+        return ProcessHandle.of(pid).orElseThrow(() -> new IOException("process " + pid + " ended immediately, see " + log));
     }
 
     @Override
--- a/lab/src/main/java/hookweir/lab/lives/PausableClient.java
+++ b/lab/src/main/java/hookweir/lab/lives/PausableClient.java
@@ -12,12 +12,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 
-/** A client with one request, which can stop in the midst of writing it or of reading its answer. */
+/** A client that sends one request and can pause while it writes the request or reads the response. */
 final class PausableClient {
-    /** How a request ended for its client. */
+    /** How a request ended from the client's point of view. */
     enum Outcome { NOT_ASKED, SERVED, REFUSED, FAILED, LOST, NOTHING }
 
     static final long DEADLINE_MS = 6000;
+    /** The client waits slightly longer than the deadline, so that a response sent in time is still read. */
     private static final long READ_TIMEOUT_MS = DEADLINE_MS + 300;
     private static final String BODY = "work to be done";
 
@@ -27,14 +28,18 @@
     private final String kind;
     private final Point point;
     private final String request;
-    /** It has got to its point. */
+    /** Counted down once the client has paused at its point. */
     final CountDownLatch pointReached = new CountDownLatch(1);
+    /** Counted down to let a paused client continue. */
     private final CountDownLatch resumed = new CountDownLatch(1);
     private volatile boolean abandoned;
-    private volatile Outcome awaitOutcome = Outcome.NOT_ASKED;
+    private volatile Outcome outcome = Outcome.NOT_ASKED;
     private final Thread thread;
 
-    /** Begins; at HEAD_HALF_READ, BODY_HALF_READ and ANSWER_HALF_WRITTEN it waits there until {@link #resume}. */
+    /**
+     * Connects and sends the request in its own thread. At HEAD_HALF_READ, BODY_HALF_READ and ANSWER_HALF_WRITTEN the client pauses
+     * until {@link #resume} is called.
+     */
     PausableClient(int port, String id, String kind, Point point, EventSink witness) throws IOException {
         this.id = id;
         this.kind = kind;
@@ -77,57 +82,57 @@
         String key = kind.equals("load-order") ? "k-" + id : null;
         witness.accept(Event.ask(id, SchedulerProcess.SCHEDULER_NAME, kind, DEADLINE_MS,
             Checksums.forwarded(request, key, BODY.getBytes(StandardCharsets.US_ASCII))));
-        awaitOutcome = Outcome.NOTHING;
+        outcome = Outcome.NOTHING;
     }
 
     private void readResponse() throws IOException, InterruptedException {
         socket.setSoTimeout((int) READ_TIMEOUT_MS);
         InputStream in = socket.getInputStream();
         try {
-            BlockingHttp.Message m;
+            BlockingHttp.Message response;
             if (point == Point.ANSWER_HALF_WRITTEN) {
                 byte[] part = in.readNBytes(1000);
                 pointReached.countDown();
                 resumed.await();
-                m = BlockingHttp.readMessage(new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(part), in));
+                response = BlockingHttp.readMessage(new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(part), in));
             } else {
-                m = BlockingHttp.readMessage(in);
+                response = BlockingHttp.readMessage(in);
             }
-            if (m == null) {
+            if (response == null) {
                 recordLost();
                 return;
             }
-            int status = Integer.parseInt(m.startLine().split(" ")[1]);
-            String advice = BlockingHttp.header(m.head(), "Retry-After");
-            witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(m.body())).retryAfter(advice == null ? "" : advice));
-            awaitOutcome = status == 200 ? Outcome.SERVED : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
+            int status = Integer.parseInt(response.startLine().split(" ")[1]);
+            String retryAfter = BlockingHttp.header(response.head(), "Retry-After");
+            witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(response.body())).retryAfter(retryAfter == null ? "" : retryAfter));
+            outcome = status == 200 ? Outcome.SERVED : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
         } catch (SocketTimeoutException e) {
-            witness.accept(Event.of(Type.GONE, id, "", "")); // long after its deadline
+            witness.accept(Event.of(Type.GONE, id, "", "")); // no response by 0.3 s after the deadline
         }
     }
 
-    /** The connection ended with no whole answer. */
+    /** Records that the connection closed before a complete response arrived. */
     private void recordLost() {
-        if (awaitOutcome == Outcome.NOTHING) {
+        if (outcome == Outcome.NOTHING) {
             witness.accept(Event.cut(id, false));
-            awaitOutcome = Outcome.LOST;
+            outcome = Outcome.LOST;
         }
     }
 
-    /** Goes on with what it held back. */
+    /** Lets a paused client continue. */
     void resume() {
         resumed.countDown();
     }
 
-    /** Leaves what it has not asked yet unasked. */
+    /** Ends a paused client; a request that is only half written is never completed. */
     void abandon() {
         abandoned = true;
         resumed.countDown();
     }
 
-    /** What came of it. */
+    /** Waits until the client has finished and returns how its request ended. */
     Outcome awaitOutcome() throws InterruptedException {
         thread.join();
-        return awaitOutcome;
+        return outcome;
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Point.java
+++ b/lab/src/main/java/hookweir/lab/lives/Point.java
@@ -2,41 +2,44 @@
 
 import java.util.Locale;
 
-/** Where a scheduler is stopped; a stand-in holds its side there. The rows of docs/readiness-review.md. */
+/**
+ * A point in a scheduler's work at which a scenario stops it; a stub client, worker or list service pauses there. Each is a row of
+ * docs/readiness-review.md.
+ */
 public enum Point {
-    /** Half of a request's head is written. */
+    /** The client has sent half of a request's head. */
     HEAD_HALF_READ,
-    /** The head and half of the body are. */
+    /** The client has sent the head and half of the body. */
     BODY_HALF_READ,
-    /** Taken, turned away by every worker, and held in the module. */
+    /** The scheduler has accepted the job, every worker has rejected it, and the scheduler holds it. */
     TAKEN_NOT_DRAWN,
-    /** The only worker's backlog is full, so the hop's connection does not come up. */
+    /** The listen backlogs of the workers are full, so the scheduler's connection is not established. */
     DIALLING,
-    /** The worker has the whole attempt and says nothing. */
+    /** The worker has received the whole attempt and has not responded. */
     SENT_NO_202,
-    /** The worker took the job and does not end it. */
+    /** The worker has accepted the job and does not finish it. */
     AFTER_202,
-    /** Half of the worker's call-back is written. */
+    /** The worker has sent half of its callback. */
     CALL_BACK_HALF_READ,
-    /** The client has read half of its answer. */
+    /** The client has read part of its response. */
     ANSWER_HALF_WRITTEN,
-    /** Half a line of the list, which tells of a drain, is written; a job is out. */
+    /** The list service has sent half of an update line about a draining worker; a worker runs a job. */
     LIST_MID_LINE,
-    /** The configuration file is half written, and SIGHUP was sent; a job is out. */
+    /** The configuration file is half written and SIGHUP was sent; a worker runs a job. */
     CONFIGURATION_HALF_WRITTEN,
-    /** Two processes: the second waits for the list; the first has a job out. */
+    /** Two processes: the second waits for the worker list; a worker runs a job of the first. */
     SUCCESSOR_WAITS_FOR_LIST,
-    /** Two processes: the second serves; the first has a job out. */
+    /** Two processes: the second serves; a worker runs a job of the first. */
     SUCCESSOR_SERVES,
-    /** Two processes: the second got the first one's call-back, and the first, which is halted, has not said whose it is. */
+    /** Two processes: the second received a callback for a job of the first, which is suspended and has not yet claimed the callback. */
     CALL_BACK_BETWEEN_PROCESSES;
 
-    /** Needs a second process from the start, which shares the listening socket. */
+    /** Whether the point needs a second process, which shares the listening socket, before the stop. */
     boolean needsSecondProcess() {
         return compareTo(SUCCESSOR_WAITS_FOR_LIST) >= 0;
     }
 
-    /** The client's request is not whole when the stop comes. */
+    /** Whether the client has sent only part of its request at the time of the stop. */
     boolean isRequestIncomplete() {
         return this == HEAD_HALF_READ || this == BODY_HALF_READ;
     }
--- a/lab/src/main/java/hookweir/lab/lives/Scenario.java
+++ b/lab/src/main/java/hookweir/lab/lives/Scenario.java
@@ -17,61 +17,65 @@
 import java.util.stream.Stream;
 
 /**
- * One scheduler's two lives: it is brought to a point with a job, stopped there, and started anew on the same address;
- * then the stand-ins go on, new jobs are served, and both lives are judged by one history.
+ * A stop and restart of one scheduler: the first process is brought to a point of its work on a job and stopped there, and a second
+ * process starts on the same address. Then the stubs continue, new jobs are served, and the rules are checked on one history of both
+ * processes.
  *
  * @param root  the folder with deploy/balancer.toml
- * @param point where the first life is stopped
- * @param stop  how
- * @param kind  the class of the job that is under way then
+ * @param point where the first process is stopped
+ * @param stop  how it is stopped
+ * @param kind  the class of the job in progress at that time
  */
 record Scenario(Path root, Point point, Stop stop, String kind) {
     static final List<String> KINDS = List.of("live-status", "billing-post", "load-order");
+    /** The id of the job that is held at the point. */
     private static final String JOB_ID = "w1";
     private static final long KILL_AFTER_TERM_MS = 3700;
     private static final long REACH_TIMEOUT_S = 20;
     private static final long RECORDER_RESOLUTION_MS = 20;
 
     /**
-     * What came of it.
+     * The result of a scenario.
      *
-     * @param outcome      of the job that was under way
-     * @param servedByNext    new jobs that the next life served, of those asked
-     * @param violations of the rules over both lives
+     * @param outcome      how the job in progress ended for its client
+     * @param servedByNext how many of the new jobs the next process served, as in "3 of 3"
+     * @param violations   the rules that the history of both processes violates
      */
     record Result(Scenario scenario, PausableClient.Outcome outcome, String servedByNext, List<RuleChecker.Violation> violations) {
     }
 
+    /** The rules by which histories of these tests are checked. */
     static RuleLimits terms() {
-        RuleLimits b = RuleLimits.defaults();
-        return new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)), b.maxAttempts(),
-            b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(), b.coldFactor(), b.coldWindowMs(), RECORDER_RESOLUTION_MS);
+        RuleLimits brief = RuleLimits.defaults();
+        return new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)), brief.maxAttempts(),
+            brief.drainMs(), brief.slackMs(), brief.noticeDelayMs(), brief.termGraceMs(), brief.killDelayMs(), brief.coldFactor(), brief.coldWindowMs(), RECORDER_RESOLUTION_MS);
     }
 
-    /** The configuration of a scheduler of three classes, one of each effect, and two data centres. */
+    /** The configuration of a scheduler with three job classes, one for each kind of repeat semantics, and two data centres. */
     static String config(int listServicePort, String knownServers) {
         String classes = "";
-        String[] effects = {"read_like", "non_idempotent", "idempotency_key"};
-        for (int i = 0; i < effects.length; i++) {
+        String[] semantics = {"read_like", "non_idempotent", "idempotency_key"};
+        for (int i = 0; i < semantics.length; i++) {
             classes += (i == 0 ? "" : ",") + "{'name':'" + KINDS.get(i) + "','aim_us':3000000,'deadline_us':" + PausableClient.DEADLINE_MS * 1000
-                + ",'semantics':'" + effects[i] + "','key_scope':'zone','window_us':40000000}";
+                + ",'semantics':'" + semantics[i] + "','key_scope':'zone','window_us':40000000}";
         }
-        return ("{'name':'" + SchedulerProcess.SCHEDULER_NAME + "','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + listServicePort + "','seed':'1','limits':{'sockets':256},"
-            + "'known':").replace('\'', '"') + knownServers + (",'settings':{'classes':[" + classes + "],'zones':['a','b'],'kinds':['m'],'discovery':'ask',"
+        return ("{'name':'" + SchedulerProcess.SCHEDULER_NAME + "','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + listServicePort
+            + "','seed':'1','limits':{'sockets':256},'known':").replace('\'', '"') + knownServers
+            + (",'settings':{'classes':[" + classes + "],'zones':['a','b'],'kinds':['m'],'discovery':'ask',"
             + "'rules':{'ask_within_us':10000000,'drain_grace_us':250000},'stats':{'via':'pull','fields':['x0']},"
             + "'limits':{'max_attempts':5,'probes':true,'cancel':true,'retry_after':true,'max_retry_after_us':1000000,"
             + "'dial_timeout_us':1000000,'conn_idle_us':10000000}}}").replace('\'', '"');
     }
 
-    /** Plays it. */
+    /** Runs the scenario. */
     Result run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("hw-lives");
         Path history = folder.resolve("history.jsonl");
         try (Recorder witness = new Recorder(history, terms());
                 ListeningSocketHolder socketHolder = point.needsSecondProcess() || stop == Stop.SUCCESSOR ? new ListeningSocketHolder() : null) {
-            Result r = new Run(folder, witness, socketHolder).execute();
+            Result result = new Run(folder, witness, socketHolder).execute();
             witness.finish();
-            return new Result(this, r.outcome, r.servedByNext, RuleChecker.check(History.read(history)));
+            return new Result(this, result.outcome, result.servedByNext, RuleChecker.check(History.read(history)));
         } catch (IOException e) {
             throw new IOException(point + ", " + stop + ", " + kind + ": " + e.getMessage(), e);
         } finally {
@@ -81,7 +85,7 @@
         }
     }
 
-    /** The stage of one play. */
+    /** The processes and stubs of one run. */
     private final class Run {
         private final Path folder;
         private final Recorder witness;
@@ -93,11 +97,11 @@
         private SchedulerProcess second;
         private PausableClient client;
 
-        Run(Path folder, Recorder witness, ListeningSocketHolder shared) throws IOException {
+        Run(Path folder, Recorder witness, ListeningSocketHolder socketHolder) throws IOException {
             this.folder = folder;
             this.witness = witness;
-            this.socketHolder = shared;
-            port = shared == null ? Ports.free() : shared.port();
+            this.socketHolder = socketHolder;
+            port = socketHolder == null ? Ports.free() : socketHolder.port();
         }
 
         private SchedulerProcess startProcess(int number) throws IOException {
@@ -136,15 +140,16 @@
             }
         }
 
-        /** The list in it is as the scheduler had it last. */
+        /** Writes the configuration file; its worker list is the current one of the list service. */
         private void writeConfiguration() throws IOException {
             Files.writeString(folder.resolve("config.json"), config(listService.port(), listService.listJson()));
         }
 
-        /** Brings the first life to the point. */
+        /** Brings the first process to the point. */
         private void reachPoint() throws IOException, InterruptedException {
             if (point.isRequestIncomplete() && stop == Stop.SUCCESSOR) {
-                // A request must be whole 2.5 s after its first byte, and a process may take longer to start: it waits for its list.
+                // A request must be complete 2.5 s after its first byte, and a process may take longer to start. So the second process is
+                // started before the request, and held while it waits for its worker list.
                 listService.holdResponses();
                 second = startProcess(2);
                 second.awaitLog("serves on port");
@@ -154,7 +159,7 @@
             if (point != Point.DIALLING) {
                 await(byClient ? client.pointReached : workers.pointReached, "the point was not reached");
             }
-            SchedulerProcess.getStatus(port, "/healthz"); // whatever was written before has been read when this is answered
+            SchedulerProcess.getStatus(port, "/healthz"); // once this gets a response, everything written before has been read
             switch (point) {
                 case LIST_MID_LINE -> listService.drainSecondMidLine();
                 case CONFIGURATION_HALF_WRITTEN -> {
@@ -178,13 +183,13 @@
                     first.signal("STOP");
                     workers.resumed.countDown();
                     second.awaitLog("another process serves here");
-                    SchedulerProcess.getStatus(port, "/healthz"); // its loop goes on while the first one owes it a verdict
+                    SchedulerProcess.getStatus(port, "/healthz"); // the loop of the second must not block while the first owes it a reply
                 }
                 default -> { }
             }
         }
 
-        /** Stops it there. */
+        /** Stops the first process at the point, or the second one for KILL_SUCCESSOR. */
         private void stopAtPoint() throws IOException, InterruptedException {
             switch (stop) {
                 case KILL -> first.kill();
@@ -195,9 +200,9 @@
                     first.awaitExit();
                 }
                 case TERM_THEN_KILL -> {
-                    long termed = System.nanoTime();
+                    long termNs = System.nanoTime();
                     first.terminate();
-                    Thread.sleep(Math.max(0, KILL_AFTER_TERM_MS + 20 - (System.nanoTime() - termed) / 1_000_000));
+                    Thread.sleep(Math.max(0, KILL_AFTER_TERM_MS + 20 - (System.nanoTime() - termNs) / 1_000_000));
                     if (first.isAlive()) {
                         first.kill();
                     } else {
@@ -220,9 +225,9 @@
                     if (point == Point.CALL_BACK_BETWEEN_PROCESSES) {
                         first.signal("CONT");
                     }
-                    SchedulerProcess last = second;
+                    SchedulerProcess killed = second;
                     second = first;
-                    first = last;
+                    first = killed;
                     second.awaitReady();
                 }
                 default -> throw new IllegalStateException(stop.toString());
@@ -230,6 +235,7 @@
             listService.releaseResponses();
         }
 
+        /** Lets the client and the workers continue. */
         private void resumeStubs() {
             if (point.isRequestIncomplete() && stop != Stop.TERM && stop != Stop.SUCCESSOR) {
                 client.abandon();
@@ -238,21 +244,21 @@
             workers.resumed.countDown();
         }
 
-        /** New jobs of all classes; then the last life is left to end as planned. */
+        /** Runs a new job of each class, then shuts the last process down by SIGTERM. */
         private Result runNewJobsAndStop() throws IOException, InterruptedException {
             second.awaitReady();
             int served = 0;
             for (String k : KINDS) {
                 served += new PausableClient(port, "n-" + k, k, null, witness).awaitOutcome() == PausableClient.Outcome.SERVED ? 1 : 0;
             }
-            PausableClient.Outcome end = client.awaitOutcome();
-            boolean calls = point != Point.DIALLING && point != Point.TAKEN_NOT_DRAWN && !point.isRequestIncomplete();
-            if (calls) {
-                await(workers.callbackDone, "the worker's call-back got no end");
+            PausableClient.Outcome outcome = client.awaitOutcome();
+            boolean callbackExpected = point != Point.DIALLING && point != Point.TAKEN_NOT_DRAWN && !point.isRequestIncomplete();
+            if (callbackExpected) {
+                await(workers.callbackDone, "the worker's callback got no response and was not abandoned");
             }
             second.terminate();
             second.awaitExit();
-            return new Result(Scenario.this, end, served + " of " + KINDS.size(), List.of());
+            return new Result(Scenario.this, outcome, served + " of " + KINDS.size(), List.of());
         }
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
+++ b/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
@@ -21,9 +21,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** One process of the scheduler, started by the line 'run' of deploy/balancer.toml, and its end. */
+/** One scheduler process, started with the command 'run' of deploy/balancer.toml; records its start and its end in the history. */
 final class SchedulerProcess {
     static final String SCHEDULER_NAME = Fleet.SCHEDULER;
+    /** The longest wait for a process to become ready or to write a log line. */
     private static final long STATE_TIMEOUT_MS = 30_000;
     private static final long EXIT_TIMEOUT_S = 20;
 
@@ -34,29 +35,31 @@
     private final int debugPort;
     private final Path log;
 
-    private SchedulerProcess(ProcessHandle process, EventSink witness, String as, int port, int debugPort, Path log) {
+    private SchedulerProcess(ProcessHandle process, EventSink witness, String historyName, int adminPort, int debugPort, Path log) {
         this.process = process;
         this.witness = witness;
-        this.historyName = as;
-        this.adminPort = port;
+        this.historyName = historyName;
+        this.adminPort = adminPort;
         this.debugPort = debugPort;
         this.log = log;
-        witness.accept(Event.of(Type.LIFE, "", "", as).how("start"));
+        witness.accept(Event.of(Type.LIFE, "", "", historyName).how("start"));
     }
 
     /**
-     * Starts a life; {@link #awaitReady} is to follow.
+     * Starts a process; call {@link #awaitReady} before using it.
      *
-     * @param number of this life among those of the scheduler, from 1
-     * @param debugged an Error can be thrown in its loop
+     * @param socketHolder passes the listening socket to the process; null: the process opens its own
+     * @param number       of this process among those of the scheduler, from 1
+     * @param debugged     whether {@link #throwErrorInLoop} can be used
      */
-    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged, EventSink witness) throws IOException {
+    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged,
+            EventSink witness) throws IOException {
         return start(root, folder, socketHolder, port, number, debugged, witness, Map.of());
     }
 
-    /** As {@link #start(Path, Path, ListeningSocketHolder, int, int, boolean, EventSink)}, with further variables in its environment. */
-    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged, EventSink witness,
-            Map<String, String> extraEnvironment) throws IOException {
+    /** As {@link #start(Path, Path, ListeningSocketHolder, int, int, boolean, EventSink)}, with additional environment variables. */
+    static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged,
+            EventSink witness, Map<String, String> extraEnvironment) throws IOException {
         int debugPort = debugged ? Ports.free() : 0;
         String command = debugged ? Target.runLine(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ") : Target.runLine(root);
         Map<String, String> environment = new TreeMap<>(Map.of("RELAY_CONFIG", folder.resolve("config.json").toString(), "TMPDIR", folder.toString(),
@@ -74,10 +77,11 @@
             environment.forEach((k, v) -> shellCommand.append(' ').append(k).append("='").append(v).append('\''));
             process = socketHolder.start(shellCommand + " exec " + command, log);
         }
-        return new SchedulerProcess(process, witness, SCHEDULER_NAME + "/" + number, Integer.parseInt(environment.get("RELAY_ADMIN_ADDR").substring(10)), debugPort, log);
+        return new SchedulerProcess(process, witness, SCHEDULER_NAME + "/" + number, Integer.parseInt(environment.get("RELAY_ADMIN_ADDR").substring(10)),
+            debugPort, log);
     }
 
-    /** Waits until it takes clients, as it tells operators. */
+    /** Waits until the health page reports that the scheduler accepts clients. */
     void awaitReady() throws IOException, InterruptedException {
         awaitCondition("ready", () -> healthStatus() == 200);
     }
@@ -92,15 +96,18 @@
                 return;
             }
         }
-        throw new IOException("the scheduler was not " + what + (process.isAlive() ? " in time" : ", it ended") + ": " + Files.readString(log));
+        throw new IOException("the scheduler was not " + what + (process.isAlive() ? " in time" : ", the process ended") + ": " + Files.readString(log));
     }
 
-    /** What it tells operators of itself; 0 where nobody answers. */
+    /** The HTTP status of the health page; 0 without a response. */
     int healthStatus() {
         return getStatus(adminPort, "/admin/health");
     }
 
-    /** A round trip through its loop: what was written to it before has been read. */
+    /**
+     * Requests a page and returns its HTTP status, 0 without a response. As the request passes through the event loop, a response means
+     * that the scheduler has read everything written to it before.
+     */
     static int getStatus(int port, String path) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(5000);
@@ -113,12 +120,13 @@
         }
     }
 
-    /** Waits for a line of its log. */
+    /** Waits until the log contains the text. */
     void awaitLog(String text) throws IOException, InterruptedException {
-        awaitCondition("heard to say '" + text + "'", () -> Files.exists(log) && Files.readString(log).contains(text)); // a holder makes it late
+        // A process started by a socket holder creates its log only after its start has been reported.
+        awaitCondition("seen to log '" + text + "'", () -> Files.exists(log) && Files.readString(log).contains(text));
     }
 
-    /** All that it has logged so far. */
+    /** The log so far. */
     String log() throws IOException {
         return Files.readString(log);
     }
@@ -127,7 +135,7 @@
         return process.isAlive();
     }
 
-    /** The process, as histories name it. */
+    /** The name of this process in histories. */
     String historyName() {
         return historyName;
     }
@@ -136,14 +144,14 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** SIGKILL, and its end. */
+    /** Sends SIGKILL and waits for the end of the process. */
     void kill() throws IOException {
         witness.accept(Event.of(Type.LIFE, "", "", historyName).how("kill"));
         process.destroyForcibly();
         awaitProcessEnd();
     }
 
-    /** An Error in its loop, which ends it: the deed of the rig, as a SIGKILL would be. */
+    /** Throws an Error in the event loop, which ends the process. The history records it as a kill, because the test caused the end. */
     void throwErrorInLoop() throws IOException, InterruptedException {
         Debugger.throwErrorInLoop(debugPort, () -> witness.accept(Event.of(Type.LIFE, "", "", historyName).how("kill")));
         awaitProcessEnd();
@@ -152,13 +160,13 @@
         }
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() throws IOException, InterruptedException {
         witness.accept(Event.of(Type.LIFE, "", "", historyName).how("term"));
         signal("TERM");
     }
 
-    /** Waits until it has ended by itself. */
+    /** Waits until the process has ended by itself, and records that. */
     void awaitExit() throws IOException {
         awaitProcessEnd();
         witness.accept(Event.of(Type.LIFE, "", "", historyName).how("exit"));
@@ -170,11 +178,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | CompletionException | TimeoutException e) {
-            throw new IOException("the process did not end: " + e + " " + Files.readString(log));
+            throw new IOException("the process did not end: " + e + ", log: " + Files.readString(log));
         }
     }
 
-    /** Ends it if it still runs, in no history. */
+    /** Kills the process if it still runs, without recording it. */
     void destroy() {
         process.destroyForcibly();
     }
--- a/lab/src/main/java/hookweir/lab/lives/Soak.java
+++ b/lab/src/main/java/hookweir/lab/lives/Soak.java
@@ -18,14 +18,14 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Ends a scheduler under load, many times, each by a plan of its own from a seed: signals in series, clients that use their open
- * connections until the kill, which comes as early as it may, workers that hang meanwhile, crowds of idle connections. Each seed's
- * history is judged by the rules.
+ * Ends a scheduler under load once for each seed, by a plan derived from the seed: a series of signals, clients that use their open
+ * connections until the earliest permitted SIGKILL, workers that hang meanwhile, many idle connections. The history of each seed is
+ * checked by the rules.
  */
 public final class Soak extends Main.Command {
     private static final int WORKERS = 5;
     private static final int SLOTS = 64;
-    /** SIGKILL comes so long after SIGTERM: 3 s for the longest deadline that counts, and 0.7 s. */
+    /** The earliest SIGKILL after SIGTERM: 3 s for the longest deadline that counts, and 0.7 s. */
     private static final long KILL_AFTER_MS = 3_700;
     private static final long SETTLE_TIMEOUT_MS = 10_000;
     private static final long POLL_MS = 5;
@@ -34,12 +34,12 @@
     private String root = ".";
     @Option(name = "--first", usage = "the first seed")
     private long firstSeed = 1;
-    @Option(name = "--seeds", usage = "so many seeds")
+    @Option(name = "--seeds", usage = "number of seeds")
     private int seeds = 50;
-    @Option(name = "--keep", metaVar = "FOLDER", usage = "where histories and logs of seeds that broke a rule are kept")
+    @Option(name = "--keep", metaVar = "FOLDER", usage = "where histories and logs of seeds that violated a rule are kept")
     private String keepFolder = "target/soak";
 
-    /** For tests: these seeds. */
+    /** For tests: the first seed, the number of seeds, and the folder for histories with violations. */
     static Soak of(String root, String keep, long first, int seeds) {
         Soak soak = new Soak();
         soak.root = root;
@@ -51,31 +51,31 @@
 
     @Override
     protected int run() throws IOException, InterruptedException {
-        int broken = 0;
+        int failedSeeds = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             SoakPlan plan = SoakPlan.of(seed);
-            List<RuleChecker.Violation> breaches = runSeed(plan);
-            System.out.println("seed " + seed + ": " + (breaches.isEmpty() ? "kept" : breaches.size() + " broken") + "; " + plan);
-            breaches.stream().limit(5).forEach(b -> System.out.println("  " + b));
-            broken += breaches.isEmpty() ? 0 : 1;
+            List<RuleChecker.Violation> violations = runSeed(plan);
+            System.out.println("seed " + seed + ": " + (violations.isEmpty() ? "kept" : violations.size() + " broken") + "; " + plan);
+            violations.stream().limit(5).forEach(b -> System.out.println("  " + b));
+            failedSeeds += violations.isEmpty() ? 0 : 1;
         }
-        System.out.println(seeds + " seeds, " + broken + " broke a rule");
-        return broken == 0 ? 0 : 1;
+        System.out.println(seeds + " seeds, " + failedSeeds + " violated a rule");
+        return failedSeeds == 0 ? 0 : 1;
     }
 
     private List<RuleChecker.Violation> runSeed(SoakPlan plan) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("hw-soak");
         Path history = folder.resolve("history.jsonl");
-        List<RuleChecker.Violation> breaches;
+        List<RuleChecker.Violation> violations;
         try (Recorder witness = new Recorder(history, Scenario.terms())) {
             new SeedRun(plan, folder, witness).execute();
             witness.finish();
             if (witness.failure() != null) {
-                throw new IOException("seed " + plan.seed() + " was not recorded whole: " + witness.failure());
+                throw new IOException("seed " + plan.seed() + " was not recorded completely: " + witness.failure());
             }
-            breaches = RuleChecker.check(History.read(history));
+            violations = RuleChecker.check(History.read(history));
         }
-        if (!breaches.isEmpty()) {
+        if (!violations.isEmpty()) {
             Path kept = Files.createDirectories(Path.of(keepFolder, "seed-" + plan.seed()));
             try (Stream<Path> files = Files.list(folder)) {
                 for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -86,10 +86,10 @@
         try (Stream<Path> left = Files.walk(folder)) {
             left.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
         }
-        return breaches;
+        return violations;
     }
 
-    /** One seed's scheduler, stand-ins and clients. */
+    /** The scheduler, stub workers and clients of one seed. */
     private final class SeedRun {
         private final SoakPlan plan;
         private final Path folder;
@@ -105,68 +105,68 @@
         }
 
         void execute() throws IOException, InterruptedException {
-            SchedulerProcess life = null;
-            try (Reactor workers = new Reactor("workers"); Reactor asking = new Reactor("clients")) {
+            SchedulerProcess scheduler = null;
+            try (Reactor workers = new Reactor("workers"); Reactor clientReactor = new Reactor("clients")) {
                 Fleet fleet = new Fleet(workers, WORKERS, SLOTS, plan.serviceMs() * 1_000_000L, 2, false, witness);
                 fleet.tells(Fleet.local(port));
                 Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.list(), fleet.servers()));
-                life = start(1);
+                scheduler = start(1);
                 for (String kind : List.of("live-status", "billing-post")) {
-                    clients.add(new Clients(asking, Fleet.local(port), new Clients.Plan(plan.clients(), 0, 16, PausableClient.DEADLINE_MS, kind),
+                    clients.add(new Clients(clientReactor, Fleet.local(port), new Clients.Plan(plan.clients(), 0, 16, PausableClient.DEADLINE_MS, kind),
                         kind.charAt(0) + "-", witness));
                 }
                 clients.forEach(Clients::start);
                 Thread.sleep(plan.loadMs());
                 idleConnections = new IdleConnections(port, plan.crowd());
                 for (int i = 0; i < plan.reloads(); i++) {
-                    life.signal("HUP");
+                    scheduler.signal("HUP");
                     Thread.sleep(plan.gapMs());
                 }
                 fleet.hangs(plan.hangs());
-                stopScheduler(life);
+                stopScheduler(scheduler);
                 fleet.hangs(false);
-                life = start(2);
+                scheduler = start(2);
                 clients.forEach(c -> {
                     c.resends(true);
                     c.connects(true);
                 });
                 awaitClients();
-                life.terminate();
-                life.awaitExit();
+                scheduler.terminate();
+                scheduler.awaitExit();
             } finally {
                 if (idleConnections != null) {
                     idleConnections.close();
                 }
-                if (life != null) {
-                    life.destroy();
+                if (scheduler != null) {
+                    scheduler.destroy();
                 }
             }
         }
 
         private SchedulerProcess start(int number) throws IOException, InterruptedException {
-            SchedulerProcess life = SchedulerProcess.start(Path.of(root), folder, null, port, number, false, witness);
-            life.awaitReady();
-            return life;
+            SchedulerProcess scheduler = SchedulerProcess.start(Path.of(root), folder, null, port, number, false, witness);
+            scheduler.awaitReady();
+            return scheduler;
         }
 
-        /** SIGTERM, perhaps more signals, and SIGKILL as early as it may come if the process is still there. */
-        private void stopScheduler(SchedulerProcess life) throws IOException, InterruptedException {
+        /** Sends SIGTERM, the plan's further signals, and the earliest permitted SIGKILL if the process still runs. */
+        private void stopScheduler(SchedulerProcess scheduler) throws IOException, InterruptedException {
             long termNs = System.nanoTime();
-            life.terminate();
+            scheduler.terminate();
             Thread.sleep(plan.frontMs());
             clients.forEach(c -> c.connects(false));
             for (String signal : plan.signalsAfterTerm()) {
-                life.signal(signal);
+                scheduler.signal(signal);
                 Thread.sleep(plan.gapMs());
             }
-            while (life.isAlive() && System.nanoTime() - termNs < KILL_AFTER_MS * 1_000_000) {
+            while (scheduler.isAlive() && System.nanoTime() - termNs < KILL_AFTER_MS * 1_000_000) {
                 Thread.sleep(POLL_MS);
             }
             clients.forEach(c -> c.resends(false));
-            if (life.isAlive()) {
-                life.kill();
+            if (scheduler.isAlive()) {
+                scheduler.kill();
             } else {
-                life.awaitExit();
+                scheduler.awaitExit();
             }
             idleConnections.close();
         }
@@ -183,7 +183,7 @@
 
     @Override
     protected String what() {
-        return "Ends a scheduler under load by signals in series, up to a kill as early as it may come, and judges it by the rules.\n"
+        return "Ends a scheduler under load by a series of signals, up to the earliest permitted SIGKILL, and checks the history by the rules.\n"
             + "  example: soak --first 1 --seeds 50";
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/SoakPlan.java
+++ b/lab/src/main/java/hookweir/lab/lives/SoakPlan.java
@@ -5,18 +5,18 @@
 import java.util.Random;
 
 /**
- * What one seed of a soak does.
+ * The actions of one seed of a soak. The component names are part of the printed result.
  *
- * @param seed                 of all that follows
- * @param serviceMs            how long workers take for a job
- * @param clients              of each class, each on a connection that it keeps
- * @param loadMs               under load before anything happens
- * @param crowd                idle connections that are opened beside the clients'; 0: none
- * @param reloads              SIGHUPs before SIGTERM
- * @param gapMs                between two signals
- * @param hangs                from SIGTERM on workers take jobs and end none
- * @param frontMs              new connections come for so long after SIGTERM
- * @param signalsAfterTerm     further signals after that
+ * @param seed                 from which all other values are derived
+ * @param serviceMs            service time of a job at a worker
+ * @param clients              number of clients of each class, each with one persistent connection
+ * @param loadMs               time under load before the first action
+ * @param crowd                number of idle connections opened beside those of the clients
+ * @param reloads              number of SIGHUPs before SIGTERM
+ * @param gapMs                time between two signals
+ * @param hangs                whether workers accept jobs and finish none from SIGTERM on
+ * @param frontMs              how long clients open new connections after SIGTERM
+ * @param signalsAfterTerm     further signals, sent after that
  */
 record SoakPlan(long seed, int serviceMs, int clients, int loadMs, int crowd, int reloads, int gapMs, boolean hangs, int frontMs,
         List<String> signalsAfterTerm) {
@@ -30,16 +30,16 @@
     private static final double IDLE_CONNECTIONS_PROBABILITY = 0.4;
     private static final double HANG_PROBABILITY = 0.4;
 
-    /** The plan of this seed. */
+    /** Derives the plan from the seed. */
     static SoakPlan of(long seed) {
         Random random = new Random(seed);
         List<String> signals = new ArrayList<>();
-        int more = random.nextInt(SIGNALS_SPREAD);
-        for (int i = 0; i < more; i++) {
+        int signalCount = random.nextInt(SIGNALS_SPREAD);
+        for (int i = 0; i < signalCount; i++) {
             signals.add(random.nextBoolean() ? "TERM" : "HUP");
         }
         return new SoakPlan(seed, 5 + random.nextInt(SERVICE_SPREAD_MS), 2 + random.nextInt(CLIENTS_SPREAD), 200 + random.nextInt(LOAD_SPREAD_MS),
-            random.nextDouble() < IDLE_CONNECTIONS_PROBABILITY ? IDLE_CONNECTIONS : 0, random.nextInt(SIGNALS_SPREAD), random.nextInt(GAP_SPREAD_MS), random.nextDouble() < HANG_PROBABILITY,
-            MIN_CONNECTING_AFTER_TERM_MS + random.nextInt(MIN_CONNECTING_AFTER_TERM_MS), List.copyOf(signals));
+            random.nextDouble() < IDLE_CONNECTIONS_PROBABILITY ? IDLE_CONNECTIONS : 0, random.nextInt(SIGNALS_SPREAD), random.nextInt(GAP_SPREAD_MS),
+            random.nextDouble() < HANG_PROBABILITY, MIN_CONNECTING_AFTER_TERM_MS + random.nextInt(MIN_CONNECTING_AFTER_TERM_MS), List.copyOf(signals));
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/Stop.java
+++ b/lab/src/main/java/hookweir/lab/lives/Stop.java
@@ -2,22 +2,22 @@
 
 import java.util.Locale;
 
-/** How a life ends. */
+/** How a scheduler process is ended. */
 public enum Stop {
     /** SIGKILL. */
     KILL,
-    /** SIGTERM, with nobody going on, and SIGKILL 3.7 s later. */
+    /** SIGTERM while all stubs stay paused, and SIGKILL 3.7 s later. */
     TERM_THEN_KILL,
-    /** SIGTERM, after which the stand-ins go on; the process leaves by itself. */
+    /** SIGTERM, after which the stubs continue; the process exits by itself. */
     TERM,
-    /** An Error thrown in the loop; the process leaves at once. */
+    /** An Error thrown in the event loop; the process exits immediately. */
     ERROR,
-    /** A second process on the same listening socket takes over, and the first gets SIGTERM. */
+    /** A second process on the same listening socket takes over, and the first receives SIGTERM. */
     SUCCESSOR,
     /** Of two processes, the second is killed. */
     KILL_SUCCESSOR;
 
-    /** It can be tried at that point. */
+    /** Whether a scenario can combine this stop with the point. */
     boolean appliesTo(Point point) {
         return point.needsSecondProcess() ? this == KILL || this == KILL_SUCCESSOR : this != KILL_SUCCESSOR;
     }
--- a/lab/src/main/java/hookweir/lab/lives/StopAndRestart.java
+++ b/lab/src/main/java/hookweir/lab/lives/StopAndRestart.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.Future;
 import org.kohsuke.args4j.Option;
 
-/** Stops the real scheduler at every point in every way, and judges its two lives by one history each. */
+/** Stops the real scheduler at every point in every way, restarts it, and checks one history of both processes for each combination. */
 public final class StopAndRestart extends Main.Command {
     @Option(name = "--root", usage = "the folder with deploy/balancer.toml")
     private String root = ".";
-    @Option(name = "--seed", usage = "of the order, and of the class of the job under way at each point")
+    @Option(name = "--seed", usage = "seed of the order and of the class of the job in progress at each point")
     private long seed = 1;
-    @Option(name = "--side-by-side", usage = "so many at once")
+    @Option(name = "--side-by-side", usage = "number of scenarios run concurrently")
     private int concurrency = 4;
-    @Option(name = "--point", usage = "only this point, as the table names it")
+    @Option(name = "--point", usage = "run only this point, named as in the printed table")
     private String onlyPoint = "";
-    @Option(name = "--classes", usage = "each point with every class, not with one by the seed")
+    @Option(name = "--classes", usage = "run each point with every job class instead of one chosen by the seed")
     private boolean everyClass;
 
-    /** All scenarios, in a seeded order; each with a class by the seed, or with every one. */
+    /** All scenarios in an order given by the seed, each with one job class chosen by the seed or with every class. */
     static List<Scenario> scenarios(Path root, long seed, boolean everyClass) {
         Random random = new Random(seed);
         List<Scenario> all = new ArrayList<>();
@@ -42,14 +42,14 @@
         return all;
     }
 
-    /** Plays them, so many at once; the results in their order. */
+    /** Runs the scenarios, {@code concurrency} at a time, and returns the results in their order. */
     static List<Scenario.Result> runAll(List<Scenario> all, int sideBySide) throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(sideBySide);
         try {
-            List<Future<Scenario.Result>> played = new ArrayList<>();
-            all.forEach(s -> played.add(pool.submit(s::run)));
+            List<Future<Scenario.Result>> futures = new ArrayList<>();
+            all.forEach(s -> futures.add(pool.submit(s::run)));
             List<Scenario.Result> out = new ArrayList<>();
-            for (Future<Scenario.Result> f : played) {
+            for (Future<Scenario.Result> f : futures) {
                 out.add(f.get());
             }
             return out;
@@ -68,20 +68,21 @@
         results.sort((a, b) -> a.scenario().point() != b.scenario().point() ? a.scenario().point().compareTo(b.scenario().point())
             : a.scenario().stop() != b.scenario().stop() ? a.scenario().stop().compareTo(b.scenario().stop())
             : a.scenario().kind().compareTo(b.scenario().kind()));
-        System.out.printf("%-28s %-15s %-13s %-10s %-7s %s%n", "stopped at", "by", "class", "its job", "next", "breaches");
-        int broken = 0;
+        System.out.printf("%-28s %-15s %-13s %-10s %-7s %s%n", "stopped at", "by", "class", "its job", "next", "violations");
+        int failedScenarios = 0;
         for (Scenario.Result r : results) {
             System.out.printf("%-28s %-15s %-13s %-10s %-7s %s%n", r.scenario().point(), r.scenario().stop(), r.scenario().kind(),
-                r.outcome().toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' '), r.servedByNext(), r.violations().isEmpty() ? "none" : r.violations());
-            broken += r.violations().isEmpty() ? 0 : 1;
+                r.outcome().toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' '), r.servedByNext(),
+                r.violations().isEmpty() ? "none" : r.violations());
+            failedScenarios += r.violations().isEmpty() ? 0 : 1;
         }
-        System.out.println(results.size() + " pairs of lives, " + broken + " with a breach");
-        return broken == 0 ? 0 : 1;
+        System.out.println(results.size() + " scenarios, " + failedScenarios + " with a violation");
+        return failedScenarios == 0 ? 0 : 1;
     }
 
     @Override
     protected String what() {
-        return "Stops the real scheduler at every point of its work in every way, starts it anew, and judges both lives by the rules.\n"
+        return "Stops the real scheduler at every point of its work in every way, restarts it, and checks the history of both processes by the rules.\n"
             + "  example: two-lives --seed 1 --side-by-side 4";
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/StubListService.java
+++ b/lab/src/main/java/hookweir/lab/lives/StubListService.java
@@ -11,51 +11,52 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 
-/** Discovery by hand: the list of two workers, which can be held back, and a watch that can stop in mid-line. */
+/** A list service with two workers whose responses can be held back, and whose watch can stop in the middle of a line. */
 final class StubListService implements AutoCloseable {
     private static final int WORKERS = 2;
     private static final long HEARTBEAT_MS = 2000;
-    /** So long a call waits in the queue before it is refused. */
+    /** While overloaded, the service rejects each request after this delay. */
     private static final long REJECT_DELAY_MS = 1000;
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final StubWorkerPair workers;
     private final EventSink witness;
     private final Set<Socket> watches = ConcurrentHashMap.newKeySet();
-    /** Whoever asks for the list waits for this. */
+    /** Every response waits for this latch. */
     private volatile CountDownLatch responseGate = new CountDownLatch(0);
-    /** Somebody waits at the gate. */
+    /** Counted down when a request waits for {@link #responseGate}. */
     private volatile CountDownLatch requestWaiting = new CountDownLatch(1);
+    /** The second worker drains, and possibly the first as well. */
     private volatile boolean secondDraining;
-    /** All workers drain, and not the second one alone. */
+    /** Both workers drain. */
     private volatile boolean allDraining;
-    /** Calls wait in a queue that is too long, and are refused. */
+    /** Requests are rejected after {@link #REJECT_DELAY_MS}, as by a service whose queue is too long. */
     private volatile boolean overloaded;
 
     StubListService(StubWorkerPair workers, EventSink witness) throws IOException {
         this.workers = workers;
         this.witness = witness;
-        Thread t = new Thread(() -> {
+        Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
                     Socket s = listener.accept();
-                    Thread one = new Thread(() -> serve(s));
-                    one.setDaemon(true);
-                    one.start();
+                    Thread connection = new Thread(() -> serve(s));
+                    connection.setDaemon(true);
+                    connection.start();
                 }
             } catch (IOException e) {
-                return; // closed
+                return; // the listener was closed
             }
         });
-        t.setDaemon(true);
-        t.start();
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     int port() {
         return listener.getLocalPort();
     }
 
-    /** The list, in discovery's form. */
+    /** The worker list in the format of the list service. */
     String listJson() {
         return "{\"version\":" + (secondDraining ? 2 : 1) + ",\"full\":true,\"servers\":[" + entryJson(0, allDraining ? "DRAINING" : "SERVING") + ","
             + entryJson(1, secondDraining ? "DRAINING" : "SERVING") + "]}";
@@ -66,13 +67,13 @@
             + "\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    /** From now on whoever asks waits. */
+    /** Holds back all responses until {@link #releaseResponses}. */
     void holdResponses() {
         requestWaiting = new CountDownLatch(1);
         responseGate = new CountDownLatch(1);
     }
 
-    /** Waits until somebody waits. */
+    /** Waits until a request waits for its response. */
     void awaitRequest() throws InterruptedException {
         requestWaiting.await();
     }
@@ -81,7 +82,7 @@
         responseGate.countDown();
     }
 
-    /** The second worker drains; half of the line that tells it goes to those who watch. The rest never comes. */
+    /** Marks the second worker as draining and sends each open watch the first half of the update line. The second half is never sent. */
     void drainSecondMidLine() throws IOException {
         secondDraining = true;
         witness.accept(Event.of(Type.DRAIN, "", StubWorkerPair.name(1), SchedulerProcess.SCHEDULER_NAME).notified(false));
@@ -91,7 +92,10 @@
         }
     }
 
-    /** All workers drain; the service can be reached, but whoever asks is refused after a wait: nobody hears of it until {@link #respondAgain}. */
+    /**
+     * Marks all workers as draining while the service accepts connections but rejects each request after a delay. No scheduler receives
+     * the update until {@link #respondAgain}.
+     */
     void drainAllWhileOverloaded() throws IOException {
         overloaded = true;
         allDraining = true;
@@ -104,14 +108,15 @@
         }
     }
 
-    /** Calls are answered again. */
+    /** Ends the overload: requests get the list again. */
     void respondAgain() {
         overloaded = false;
     }
 
     private void serve(Socket s) {
         try (s) {
-            for (BlockingHttp.Message m = BlockingHttp.readMessage(s.getInputStream()); m != null; m = BlockingHttp.readMessage(s.getInputStream())) {
+            for (BlockingHttp.Message request = BlockingHttp.readMessage(s.getInputStream()); request != null;
+                    request = BlockingHttp.readMessage(s.getInputStream())) {
                 if (responseGate.getCount() > 0) {
                     requestWaiting.countDown();
                     responseGate.await();
@@ -125,20 +130,21 @@
                 if (secondDraining) {
                     witness.accept(Event.of(Type.DRAIN, "", StubWorkerPair.name(1), SchedulerProcess.SCHEDULER_NAME));
                 }
-                if (!m.startLine().contains("watch=1")) {
+                if (!request.startLine().contains("watch=1")) {
                     BlockingHttp.write(s, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                     continue;
                 }
-                BlockingHttp.write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
+                BlockingHttp.write(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    + Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
                 watches.add(s);
-                boolean held = secondDraining; // one told so far is not beaten at in mid-line
-                while (held == secondDraining) {
+                boolean sentDraining = secondDraining; // no heartbeat is sent into a half-written line
+                while (sentDraining == secondDraining) {
                     Thread.sleep(HEARTBEAT_MS);
-                    if (held == secondDraining) {
+                    if (sentDraining == secondDraining) {
                         BlockingHttp.write(s, "1\r\n\n\r\n");
                     }
                 }
-                s.getInputStream().read(); // held in mid-line until its reader leaves
+                s.getInputStream().read(); // keeps the half-written line open until the scheduler closes the connection
             }
         } catch (IOException | InterruptedException e) {
             watches.remove(s);
--- a/lab/src/main/java/hookweir/lab/lives/StubWorkerPair.java
+++ b/lab/src/main/java/hookweir/lab/lives/StubWorkerPair.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Two workers, one in each data centre, that follow the protocol by hand on blocking sockets. The first attempt of the job
- * that a scenario watches is held at its point until the scenario lets go.
+ * Two stub workers, one in each data centre, which implement the worker protocol on blocking sockets. The first attempt of the job that a
+ * scenario selects is held at the scenario's point until the scenario resumes it.
  */
 final class StubWorkerPair implements AutoCloseable {
     private static final int MAX_CALLBACK_ATTEMPTS = 10;
@@ -34,30 +34,30 @@
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final List<Socket> backlogFillers = new ArrayList<>();
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-    /** The watched job has got to its point. */
+    /** Counted down when the selected job has reached its point. */
     final CountDownLatch pointReached = new CountDownLatch(1);
-    /** What was held there goes on. */
+    /** Counted down to let the held job continue. */
     final CountDownLatch resumed = new CountDownLatch(1);
-    /** The watched job's call-back has its answer, or has given up. */
+    /** Counted down when the selected job's callback got a response or was abandoned. */
     final CountDownLatch callbackDone = new CountDownLatch(1);
     private volatile boolean closed;
 
-    /** Workers for a scenario in which the job of this id is held, round the scheduler on that port. */
-    StubWorkerPair(Point point, String watched, int scheduler, EventSink witness) throws IOException {
+    /** Starts the workers of a scenario that holds the job with this id; callbacks go to the scheduler on {@code schedulerPort}. */
+    StubWorkerPair(Point point, String heldJobId, int schedulerPort, EventSink witness) throws IOException {
         this.point = point;
-        this.heldJobId = watched;
-        this.schedulerPort = scheduler;
+        this.heldJobId = heldJobId;
+        this.schedulerPort = schedulerPort;
         this.witness = witness;
         for (int i = 0; i < 2; i++) {
-            boolean shut = point == Point.DIALLING;
-            ServerSocket door = new ServerSocket(0, shut ? 1 : 50, InetAddress.getLoopbackAddress());
-            listeners.add(door);
+            boolean backlogFull = point == Point.DIALLING;
+            ServerSocket listener = new ServerSocket(0, backlogFull ? 1 : 50, InetAddress.getLoopbackAddress());
+            listeners.add(listener);
             String name = name(i);
             witness.accept(Event.location(name, i == 0 ? "a" : "b", 0));
-            if (shut) {
-                fillBacklog(door);
+            if (backlogFull) {
+                fillBacklog(listener);
             }
-            startThread(() -> acceptConnections(door, name));
+            startThread(() -> acceptConnections(listener, name));
         }
     }
 
@@ -73,35 +73,35 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void startThread(IoTask work) {
+    private static void startThread(IoTask task) {
         Thread t = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IOException e) {
-                return; // a connection that ended: whoever waits for it sees that
+                return; // the connection ended; whoever waits for the job notices that
             }
         });
         t.setDaemon(true);
         t.start();
     }
 
-    /** Takes all places of the backlog, so that the next connection does not come up. */
-    private void fillBacklog(ServerSocket door) throws IOException {
+    /** Fills the listen backlog, so that the next connection is not established. */
+    private void fillBacklog(ServerSocket listener) throws IOException {
         for (int i = 0; i < 8; i++) {
             Socket s = new Socket();
             backlogFillers.add(s);
             try {
-                s.connect(door.getLocalSocketAddress(), 200);
+                s.connect(listener.getLocalSocketAddress(), 200);
             } catch (java.net.SocketTimeoutException e) {
-                return; // full
+                return; // the backlog is full
             }
         }
-        throw new IOException("the backlog of a worker could not be filled");
+        throw new IOException("the listen backlog of a worker could not be filled");
     }
 
-    private void acceptConnections(ServerSocket door, String name) throws IOException, InterruptedException {
+    private void acceptConnections(ServerSocket listener, String name) throws IOException, InterruptedException {
         if (point == Point.DIALLING) {
             resumed.await();
             for (Socket s : backlogFillers) {
@@ -109,26 +109,27 @@
             }
         }
         while (!closed) {
-            Socket s = door.accept();
+            Socket s = listener.accept();
             connections.add(s);
             startThread(() -> serve(s, name));
         }
     }
 
     private void serve(Socket s, String name) throws IOException, InterruptedException {
-        String unanswered = null;
+        String pendingId = null;
         try (s) {
-            for (BlockingHttp.Message m = BlockingHttp.readMessage(s.getInputStream()); m != null; m = BlockingHttp.readMessage(s.getInputStream())) {
-                if (m.startLine().startsWith("POST ")) {
-                    String id = BlockingHttp.header(m.head(), "Req-Id");
+            for (BlockingHttp.Message request = BlockingHttp.readMessage(s.getInputStream()); request != null;
+                    request = BlockingHttp.readMessage(s.getInputStream())) {
+                if (request.startLine().startsWith("POST ")) {
+                    String id = BlockingHttp.header(request.head(), "Req-Id");
                     witness.accept(Event.of(Type.ATTEMPT, id, name, SchedulerProcess.SCHEDULER_NAME)
-                        .checksum(Checksums.forwarded(m.head(), BlockingHttp.header(m.head(), "Idempotency-Key"), m.body())));
-                    unanswered = id;
+                        .checksum(Checksums.forwarded(request.head(), BlockingHttp.header(request.head(), "Idempotency-Key"), request.body())));
+                    pendingId = id;
                     if (respond(s, id, name)) {
-                        unanswered = null;
+                        pendingId = null;
                     }
-                } else if (m.startLine().startsWith("DELETE ")) {
-                    String path = m.startLine().split(" ")[1];
+                } else if (request.startLine().startsWith("DELETE ")) {
+                    String path = request.startLine().split(" ")[1];
                     witness.accept(Event.of(Type.CANCEL, path.substring(path.lastIndexOf('/') + 1), name, ""));
                     BlockingHttp.write(s, OK);
                 } else {
@@ -137,22 +138,22 @@
             }
         } finally {
             connections.remove(s);
-            if (unanswered != null) {
-                witness.accept(Event.of(Type.CANCEL, unanswered, name, "")); // closed before the 202: given up
+            if (pendingId != null) {
+                witness.accept(Event.of(Type.CANCEL, pendingId, name, "")); // closed before the 202: the scheduler abandoned the attempt
             }
         }
     }
 
-    /** Answers an attempt by the point; false where its 202 is left out for now. */
+    /** Responds to an attempt as the point requires; returns false if the 202 is withheld for now. */
     private boolean respond(Socket s, String id, String name) throws IOException {
-        boolean holds = id.equals(heldJobId) && resumed.getCount() > 0;
-        if (holds && point == Point.TAKEN_NOT_DRAWN) {
+        boolean held = id.equals(heldJobId) && resumed.getCount() > 0;
+        if (held && point == Point.TAKEN_NOT_DRAWN) {
             witness.accept(Event.end(id, name, "returned", ""));
             BlockingHttp.write(s, DECLINED);
             pointReached.countDown();
             return true;
         }
-        if (holds && point == Point.SENT_NO_202) {
+        if (held && point == Point.SENT_NO_202) {
             startThread(() -> {
                 pointReached.countDown();
                 resumed.await();
@@ -168,7 +169,7 @@
         BlockingHttp.write(s, ACCEPTED);
         String result = id.equals(heldJobId) && point == Point.ANSWER_HALF_WRITTEN ? "R".repeat(LARGE_RESULT_BYTES) : "r-" + id;
         startThread(() -> {
-            if (holds && (point == Point.AFTER_202 || point == Point.LIST_MID_LINE || point == Point.CONFIGURATION_HALF_WRITTEN
+            if (held && (point == Point.AFTER_202 || point == Point.LIST_MID_LINE || point == Point.CONFIGURATION_HALF_WRITTEN
                     || point.needsSecondProcess())) {
                 pointReached.countDown();
                 resumed.await();
@@ -179,25 +180,25 @@
         return true;
     }
 
-    /** Tells the end of a job until it has an answer, ten times at most. */
+    /** Sends the callback that ends a job, at most {@link #MAX_CALLBACK_ATTEMPTS} times, until it gets a response. */
     private void sendCallback(String id, String name, String result) throws InterruptedException {
         String body = "{\"id\":\"" + id + "\",\"from\":\"" + name + "\",\"state\":\"done\",\"result\":\"" + result + "\"}";
-        String call = "POST /callback HTTP/1.1\r\nHost: s\r\nContent-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        String request = "POST /callback HTTP/1.1\r\nHost: s\r\nContent-Type: application/json\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         try {
-            for (int tries = 0; tries < MAX_CALLBACK_ATTEMPTS && !closed; tries++) {
-                boolean holds = id.equals(heldJobId) && point == Point.CALL_BACK_HALF_READ && resumed.getCount() > 0;
-                int half = holds ? call.length() - body.length() / 2 : call.length();
+            for (int attempts = 0; attempts < MAX_CALLBACK_ATTEMPTS && !closed; attempts++) {
+                boolean held = id.equals(heldJobId) && point == Point.CALL_BACK_HALF_READ && resumed.getCount() > 0;
+                int half = held ? request.length() - body.length() / 2 : request.length();
                 try (Socket s = new Socket(InetAddress.getLoopbackAddress(), schedulerPort)) {
                     s.setSoTimeout(5000);
-                    BlockingHttp.write(s, call.substring(0, half));
-                    if (holds) {
+                    BlockingHttp.write(s, request.substring(0, half));
+                    if (held) {
                         pointReached.countDown();
                         resumed.await();
-                        BlockingHttp.write(s, call.substring(half));
+                        BlockingHttp.write(s, request.substring(half));
                     }
-                    BlockingHttp.Message m = BlockingHttp.readMessage(s.getInputStream());
-                    if (m != null) {
-                        witness.accept(Event.of(Type.CALL, id, name, "").number(Integer.parseInt(m.startLine().split(" ")[1])));
+                    BlockingHttp.Message response = BlockingHttp.readMessage(s.getInputStream());
+                    if (response != null) {
+                        witness.accept(Event.of(Type.CALL, id, name, "").number(Integer.parseInt(response.startLine().split(" ")[1])));
                         return;
                     }
                 } catch (IOException e) {
--- a/lab/src/test/java/hookweir/lab/lives/RandomStopsTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/RandomStopsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A scheduler that ends as planned, hands over to another process or is killed under load: no rule is broken over all its lives. */
+/** Drains, handovers to a successor process, kills and errors under load: the history of all processes must violate no rule. */
 @Timeout(120)
 final class RandomStopsTest {
     @TempDir
--- a/lab/src/test/java/hookweir/lab/lives/SoakTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SoakTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak; fifty seeds and more are played by hand, see docs/acceptance.md. */
+/** A short soak; runs of fifty seeds and more are started by hand, see docs/acceptance.md. */
 @Timeout(180)
 final class SoakTest {
-    /** Among them: crowds, workers that hang, signals in series. */
+    /** The seeds include many idle connections, workers that hang, and series of signals. */
     private static final int FIRST_SEED = 1;
     private static final int SEEDS = 10;
 
--- a/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Incident 1 on a real process: the workers drain while the list service is reached but too busy to answer. Once the news counts
- * as told, no job may go to them, whether the process had a list before or starts with the one last held.
+ * Incident 1 on a real process: all workers drain while the list service accepts connections but is too overloaded to send the list. Once
+ * the update counts as received, no job may be sent to the workers, whether the process had a list before or started from the cached one.
  */
 @Timeout(120)
 final class StaleListTest {
     private static final Path ROOT = Path.of("..");
     private static final int JOBS = 4;
-    /** The news counts as told 6 s after the list service had it; the grace and the recorder's grain come on top. */
+    /** The update counts as received 6 s after the list service had it; the rest covers the drain grace and the recorder's resolution. */
     private static final long UPDATE_BINDING_MS = 6_500;
 
     @TempDir
@@ -59,7 +59,7 @@
         scheduler.awaitReady();
     }
 
-    /** Jobs with too little time to wait for the list service: each has to be refused, and none sent. */
+    /** Sends jobs whose deadline is too short to wait for the list service: each must be rejected without an attempt at a worker. */
     private void assertJobsRejected() throws IOException, InterruptedException {
         for (int i = 0; i < JOBS; i++) {
             assertEquals(PausableClient.Outcome.REFUSED, new PausableClient(port, "late-" + i, "live-status", null, witness).awaitOutcome());
--- a/lab/src/test/java/hookweir/lab/lives/StopAndRestartTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/StopAndRestartTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The real scheduler, by the line 'run', stopped at every point in every way that fits it; both lives judged by one history. */
+/** Stops the real scheduler at every point in every applicable way and restarts it; the history of both processes must violate no rule. */
 @Timeout(240)
 final class StopAndRestartTest {
     private static final Path ROOT = Path.of("..");
     private static final int CONCURRENT_SCENARIOS = 6;
 
-    /** What may become of the job that was under way. */
-    private static Set<PausableClient.Outcome> allowedOutcomes(Scenario s) {
-        if (s.point() == Point.ANSWER_HALF_WRITTEN) {
-            return EnumSet.of(PausableClient.Outcome.SERVED); // the kernel has the rest of it
+    /** The permitted outcomes of the job in progress at the stop. */
+    private static Set<PausableClient.Outcome> allowedOutcomes(Scenario scenario) {
+        if (scenario.point() == Point.ANSWER_HALF_WRITTEN) {
+            return EnumSet.of(PausableClient.Outcome.SERVED); // the kernel already holds the rest of the response
         }
-        return switch (s.stop()) {
-            // One that is turned away again and again may use its attempts up before the workers let go.
-            case TERM, SUCCESSOR, KILL_SUCCESSOR -> s.point() == Point.TAKEN_NOT_DRAWN ? EnumSet.of(PausableClient.Outcome.SERVED, PausableClient.Outcome.REFUSED)
-                : EnumSet.of(PausableClient.Outcome.SERVED);
-            case KILL, ERROR -> EnumSet.of(s.point().isRequestIncomplete() ? PausableClient.Outcome.NOT_ASKED : PausableClient.Outcome.LOST);
-            case TERM_THEN_KILL -> s.point().isRequestIncomplete() ? EnumSet.of(PausableClient.Outcome.NOT_ASKED)
+        return switch (scenario.stop()) {
+            // A job that workers keep rejecting may use up its attempts before the workers resume.
+            case TERM, SUCCESSOR, KILL_SUCCESSOR -> scenario.point() == Point.TAKEN_NOT_DRAWN
+                ? EnumSet.of(PausableClient.Outcome.SERVED, PausableClient.Outcome.REFUSED) : EnumSet.of(PausableClient.Outcome.SERVED);
+            case KILL, ERROR -> EnumSet.of(scenario.point().isRequestIncomplete() ? PausableClient.Outcome.NOT_ASKED : PausableClient.Outcome.LOST);
+            case TERM_THEN_KILL -> scenario.point().isRequestIncomplete() ? EnumSet.of(PausableClient.Outcome.NOT_ASKED)
                 : EnumSet.of(PausableClient.Outcome.LOST, PausableClient.Outcome.REFUSED, PausableClient.Outcome.FAILED);
         };
     }
--- a/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** System calls on sockets that fail at random under load: the scheduler lives through them, and serves everybody soon after. */
+/** The scheduler survives random failures of socket system calls under load, and serves every request soon after they end. */
 @Timeout(120)
 final class SyscallFaultsTest {
     private static final Path ROOT = Path.of("..");
@@ -27,7 +27,7 @@
     private static final int FAULTS_DURATION_MS = 6_000;
     private static final int RECOVERY_MS = 3_000;
     private static final int CLIENTS = 8;
-    /** With so many of a thousand some attempt fails. */
+    /** From this failure rate on, some attempt is certain to fail and the log shows it. */
     private static final int MIN_VISIBLE_PER_MILLE = 30;
     private static final int LAST_REQUESTS = 20;
 
@@ -36,16 +36,17 @@
 
     private Path compileFaultLibrary() throws IOException, InterruptedException {
         Path library = folder.resolve("syscall_faults.so");
-        Process compiler = new ProcessBuilder("cc", "-O2", "-shared", "-fPIC", "-o", library.toString(), FAULT_LIBRARY_SOURCE.toString(), "-ldl").inheritIO().start();
-        assertEquals(0, compiler.waitFor(), "the C compiler");
+        Process compiler = new ProcessBuilder("cc", "-O2", "-shared", "-fPIC", "-o", library.toString(), FAULT_LIBRARY_SOURCE.toString(), "-ldl")
+            .inheritIO().start();
+        assertEquals(0, compiler.waitFor(), "exit code of the C compiler");
         return library;
     }
 
-    private static Thread startClient(int number, int port, long endMs, AtomicInteger asked) {
+    private static Thread startClient(int number, int port, long endMs, AtomicInteger requestCount) {
         Thread client = new Thread(() -> {
             try {
                 for (int i = 0; System.currentTimeMillis() < endMs; i++) {
-                    asked.incrementAndGet();
+                    requestCount.incrementAndGet();
                     new PausableClient(port, "f" + number + "-" + i, "live-status", null, EventSink.NONE).awaitOutcome();
                 }
             } catch (IOException | InterruptedException e) {
@@ -63,16 +64,17 @@
         int port = Ports.free();
         Map<String, String> faults = Map.of("LD_PRELOAD", compileFaultLibrary().toString(), "FAULTS_PER_MILLE", Integer.toString(perMille),
             "FAULTS_SEED", Integer.toString(seed), "FAULTS_AFTER_MS", Integer.toString(FAULTS_START_MS), "FAULTS_FOR_MS", Integer.toString(FAULTS_DURATION_MS));
-        try (StubWorkerPair workers = new StubWorkerPair(Point.AFTER_202, "none", port, EventSink.NONE); StubListService list = new StubListService(workers, EventSink.NONE)) {
-            Files.writeString(folder.resolve("config.json"), Scenario.config(list.port(), list.listJson()));
+        try (StubWorkerPair workers = new StubWorkerPair(Point.AFTER_202, "none", port, EventSink.NONE);
+                StubListService listService = new StubListService(workers, EventSink.NONE)) {
+            Files.writeString(folder.resolve("config.json"), Scenario.config(listService.port(), listService.listJson()));
             long end = System.currentTimeMillis() + FAULTS_START_MS + FAULTS_DURATION_MS;
-            SchedulerProcess life = SchedulerProcess.start(ROOT, folder, null, port, 1, false, EventSink.NONE, faults);
+            SchedulerProcess scheduler = SchedulerProcess.start(ROOT, folder, null, port, 1, false, EventSink.NONE, faults);
             try {
-                life.awaitReady();
-                AtomicInteger asked = new AtomicInteger();
+                scheduler.awaitReady();
+                AtomicInteger requestCount = new AtomicInteger();
                 List<Thread> clients = new ArrayList<>();
                 for (int i = 0; i < CLIENTS; i++) {
-                    clients.add(startClient(i, port, end, asked));
+                    clients.add(startClient(i, port, end, requestCount));
                 }
                 for (Thread client : clients) {
                     client.join();
@@ -82,12 +84,12 @@
                 for (int i = 0; i < LAST_REQUESTS; i++) {
                     served += new PausableClient(port, "last-" + i, "live-status", null, EventSink.NONE).awaitOutcome() == PausableClient.Outcome.SERVED ? 1 : 0;
                 }
-                assertEquals(LAST_REQUESTS, served, "after " + asked + " under faults: " + life.log());
-                assertTrue(life.isAlive());
-                assertFalse(life.log().contains("BROKEN"), life.log());
-                assertTrue(perMille < MIN_VISIBLE_PER_MILLE || life.log().contains(" ended "), "no fault was felt: " + life.log());
+                assertEquals(LAST_REQUESTS, served, "after " + requestCount + " requests under faults: " + scheduler.log());
+                assertTrue(scheduler.isAlive());
+                assertFalse(scheduler.log().contains("BROKEN"), scheduler.log());
+                assertTrue(perMille < MIN_VISIBLE_PER_MILLE || scheduler.log().contains(" ended "), "no fault had an effect: " + scheduler.log());
             } finally {
-                life.destroy();
+                scheduler.destroy();
             }
         }
     }
