--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -2,7 +2,7 @@
 
 import hookweir.Contract;
 import hookweir.Policy;
-import hookweir.net.server.Framing;
+import hookweir.net.server.RequestDecoder;
 import hookweir.net.worker.LoadReport;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -103,16 +103,16 @@
         }
     }
 
-    private final Framing framing = new Framing();
+    private final RequestDecoder framing = new RequestDecoder();
     private final LoadReport reports = new LoadReport(new String[] {"inflight", "queue", "util"});
 
     /** A request, from its first byte to its last. */
     @Benchmark
     public Object request() {
         int at = framing.feed(REQUEST, 0, REQUEST.length);
-        framing.admit();
+        framing.admitBody();
         framing.feed(REQUEST, at, REQUEST.length);
-        return framing.take();
+        return framing.takeRequest();
     }
 
     /** A job from its coming to its end, one worker drawn. */
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -2,7 +2,7 @@
 
 import hookweir.Contract;
 import hookweir.config.SettingsMapping;
-import hookweir.net.admin.Figures;
+import hookweir.net.admin.Metrics;
 import hookweir.net.server.RequestParser;
 import hookweir.net.worker.LoadReport;
 import hookweir.room.ResourceBudget;
@@ -14,7 +14,7 @@
     private static final int ACCEPT_CONNECT_TIMEOUTS = 6;
 
     private final ResourceBudget budget;
-    private final Figures figures;
+    private final Metrics figures;
     private Contract.Settings settings;
     /** By number. */
     private List<String> classNames;
@@ -22,7 +22,7 @@
     private RequestParser requestParser;
     private LoadReport loadReport;
 
-    ActiveSettings(ResourceBudget room, Figures figures, SettingsMapping mapped) {
+    ActiveSettings(ResourceBudget room, Metrics figures, SettingsMapping mapped) {
         this.budget = room;
         this.figures = figures;
         apply(mapped);
@@ -32,7 +32,7 @@
     void apply(SettingsMapping mapped) {
         settings = mapped.policySettings;
         classNames = mapped.classNames;
-        figures.classes(List.copyOf(mapped.classNumbers.keySet()));
+        figures.registerClasses(List.copyOf(mapped.classNumbers.keySet()));
         probeTimeoutUs = PROBE_CONNECT_TIMEOUTS * mapped.connectTimeoutUs;
         budget.setClasses(settings.classes);
         requestParser = new RequestParser(mapped.classNumbers, settings.classes, mapped.tenantNumbers);
--- a/node/src/main/java/hookweir/net/CallbackReceiver.java
+++ b/node/src/main/java/hookweir/net/CallbackReceiver.java
@@ -4,10 +4,10 @@
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
 import hookweir.net.server.Callback;
-import hookweir.net.server.Ingress;
-import hookweir.net.server.IngressConnection;
-import hookweir.net.upgrade.Succession;
-import hookweir.net.upgrade.Wire;
+import hookweir.net.server.HttpServer;
+import hookweir.net.server.InboundConnection;
+import hookweir.net.upgrade.PeerConnection;
+import hookweir.net.upgrade.PeerProcesses;
 import java.util.function.Consumer;
 
 /**
@@ -20,13 +20,13 @@
     private final Loop loop;
     private final Invariants invariants;
     private final ActiveSettings active;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
-    private final Succession succession;
+    private final PeerProcesses succession;
 
-    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, Ingress ingress, PendingRequests held,
-            Contract.Dispatcher module, Succession succession) {
+    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, HttpServer ingress, PendingRequests held,
+            Contract.Dispatcher module, PeerProcesses succession) {
         this.loop = loop;
         this.invariants = invariants;
         this.active = active;
@@ -37,47 +37,47 @@
     }
 
     /** Receives and answers a call-back. One of another process is answered once that process has it. */
-    void receive(IngressConnection from, byte[] body) {
+    void receive(InboundConnection from, byte[] body) {
         Callback callback = Callback.parse(body);
         if (callback == null) {
             invariants.count("ingress bad call-back");
-            ingress.answer(from, HttpStatus.BAD_REQUEST, null, NO_BODY);
+            ingress.respond(from, HttpStatus.BAD_REQUEST, null, NO_BODY);
         } else if (pending.isKnown(callback.id())) {
-            ingress.answer(from, HttpStatus.NO_CONTENT, null, NO_BODY);
+            ingress.respond(from, HttpStatus.NO_CONTENT, null, NO_BODY);
             apply(callback);
         } else {
-            succession.pass(body, null, known -> {
+            succession.forwardCallback(body, null, known -> {
                 invariants.count(known ? "call-backs for a neighbour" : "call-backs for nothing");
-                ingress.answer(from, HttpStatus.NO_CONTENT, null, NO_BODY);
+                ingress.respond(from, HttpStatus.NO_CONTENT, null, NO_BODY);
             });
         }
     }
 
     /** Receives a call-back from another process; the verdict says whether it was known here, or further on. */
-    void receiveForwarded(byte[] body, Wire from, Consumer<Boolean> verdict) {
+    void receiveForwarded(byte[] body, PeerConnection from, Consumer<Boolean> verdict) {
         Callback callback = Callback.parse(body);
         if (callback != null && pending.isKnown(callback.id())) {
             invariants.count("call-backs from a neighbour");
             apply(callback);
             verdict.accept(true);
         } else {
-            succession.pass(body, from, verdict);
+            succession.forwardCallback(body, from, verdict);
         }
     }
 
     private void apply(Callback callback) {
         PendingRequest request = pending.byClientId(callback.id());
-        Attempt attempt = request == null ? null : lastAttemptAt(request, callback.from());
+        Attempt attempt = request == null ? null : lastAttemptAt(request, callback.workerId());
         if (attempt == null) {
             // Repeated, late, or not from the worker that has the job: answered, but nothing comes of it.
             invariants.count("call-backs for nothing");
             return;
         }
         attempt.confirmAcceptance();
-        Report report = active.loadReport().ofJson(callback.load());
+        Report report = active.loadReport().ofJson(callback.loadReport());
         switch (callback.state()) {
             case "started" -> progress(attempt, 0);
-            case "running" -> progress(attempt, callback.share());
+            case "running" -> progress(attempt, callback.completedShare());
             case "done" -> attempt.endByCallback(Outcome.OK, report, callback.result());
             case "failed" -> attempt.endByCallback(Outcome.ERROR, report, null);
             case "returned" -> attempt.endByCallback(Outcome.FULL, report, null);
--- a/node/src/main/java/hookweir/net/JobAdmission.java
+++ b/node/src/main/java/hookweir/net/JobAdmission.java
@@ -1,10 +1,10 @@
 package hookweir.net;
 
 import hookweir.Contract;
-import hookweir.net.admin.Figures;
-import hookweir.net.server.Ingress;
-import hookweir.net.server.IngressConnection;
-import hookweir.net.server.IngressRequest;
+import hookweir.net.admin.Metrics;
+import hookweir.net.server.HttpServer;
+import hookweir.net.server.InboundConnection;
+import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestParser;
 import hookweir.room.ResourceBudget;
 import java.nio.charset.StandardCharsets;
@@ -15,15 +15,15 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Figures figures;
+    private final Metrics figures;
     private final ActiveSettings active;
     private final ResourceBudget budget;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private int lastRequestId;
 
-    JobAdmission(Loop loop, Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress, PendingRequests held,
+    JobAdmission(Loop loop, Invariants invariants, Metrics figures, ActiveSettings active, ResourceBudget room, HttpServer ingress, PendingRequests held,
             Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
@@ -36,26 +36,26 @@
     }
 
     /** Takes a job, and returns true where it is held from now on; else the request has been answered. */
-    boolean accept(IngressConnection from, IngressRequest request) {
+    boolean accept(InboundConnection from, InboundRequest request) {
         Contract.Request parsed;
         try {
             parsed = active.requestParser().parse(request.headers(), request.path(), ++lastRequestId, loop.nowUs());
-        } catch (RequestParser.BadRequest e) {
+        } catch (RequestParser.BadRequestException e) {
             invariants.count("ingress bad request");
-            ingress.answer(from, HttpStatus.BAD_REQUEST, null, e.getMessage().getBytes(StandardCharsets.US_ASCII));
+            ingress.respond(from, HttpStatus.BAD_REQUEST, null, e.getMessage().getBytes(StandardCharsets.US_ASCII));
             return false;
         }
         if (!pending.claim(request.headers().id())) {
             // An id names one job to workers, which may run it still when its answer is given: two of one id could
             // not be told apart.
             invariants.count("ingress id twice");
-            ingress.answer(from, HttpStatus.CONFLICT, null, NO_BODY);
+            ingress.respond(from, HttpStatus.CONFLICT, null, NO_BODY);
             return false;
         }
         if (budget.admitJob(parsed.requestClass) == ResourceBudget.Admission.REJECT) {
             invariants.count("requests refused for room");
-            figures.turnedAway(active.className(parsed.requestClass));
-            ingress.answer(from, HttpStatus.TOO_MANY_REQUESTS, retryAfter(), NO_BODY);
+            figures.jobRejected(active.className(parsed.requestClass));
+            ingress.respond(from, HttpStatus.TOO_MANY_REQUESTS, retryAfter(), NO_BODY);
             return false;
         }
         add(new PendingRequest(parsed, request, from));
@@ -64,19 +64,19 @@
 
     private void add(PendingRequest request) {
         Contract.Request parsed = request.request;
-        if (parsed.tenant == RequestParser.NOBODY) {
+        if (parsed.tenant == RequestParser.NO_TENANT) {
             invariants.count("requests of no known owner");
         }
         pending.add(request);
         invariants.count("requests");
-        figures.taken();
-        ingress.onDisconnect(request.client, () -> clientDisconnected(request));
+        figures.jobAccepted();
+        ingress.setClientDisconnectAction(request.client, () -> clientDisconnected(request));
         module.requestAccepted(loop.nowUs(), parsed);
     }
 
     private void clientDisconnected(PendingRequest request) {
         request.closed = true;
-        figures.abandoned();
+        figures.jobAbandoned();
         invariants.count("clients gone");
         module.requestAbandoned(loop.nowUs(), request.request.id);
         pending.removeIfFinished(request);
--- a/node/src/main/java/hookweir/net/Node.java
+++ b/node/src/main/java/hookweir/net/Node.java
@@ -3,9 +3,9 @@
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
 import hookweir.config.InvalidSettingException;
-import hookweir.net.admin.AdminListener;
-import hookweir.net.admin.Figures;
-import hookweir.net.admin.Standing;
+import hookweir.net.admin.AdminServer;
+import hookweir.net.admin.Metrics;
+import hookweir.net.admin.ServingState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -22,8 +22,8 @@
     private final Invariants invariants = new Invariants();
     private final Loop loop;
     private final Transport transport;
-    private final Standing standing = new Standing();
-    private final Figures figures = new Figures();
+    private final ServingState standing = new ServingState();
+    private final Metrics figures = new Metrics();
     private final SocketHost host;
     private int adminPort;
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -51,7 +51,7 @@
             loop.post(() -> host.reload(again));
         } catch (InvalidSettingException e) {
             invariants.count("reloads refused");
-            figures.reloaded(false);
+            figures.configurationReloaded(false);
             Log.line("the configuration stays as it was: " + e.getMessage());
         }
     }
@@ -96,7 +96,7 @@
     public int start() throws IOException {
         transport.start();
         if (config.adminAddress() != null) {
-            adminPort = bindOrExplain("admin_addr", config.adminAddress(), () -> new AdminListener(loop, transport, invariants, standing, figures,
+            adminPort = bindOrExplain("admin_addr", config.adminAddress(), () -> new AdminServer(loop, transport, invariants, standing, figures,
                 () -> loop.post(host::quiesceChanged)).listen(config.adminAddress()));
         }
         // Seeded before any request can be read, as this is posted first.
--- a/node/src/main/java/hookweir/net/PendingRequest.java
+++ b/node/src/main/java/hookweir/net/PendingRequest.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.Contract;
-import hookweir.net.server.IngressConnection;
-import hookweir.net.server.IngressRequest;
+import hookweir.net.server.InboundConnection;
+import hookweir.net.server.InboundRequest;
 import hookweir.timer.TimerWheel;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,8 +13,8 @@
  */
 final class PendingRequest {
     final Contract.Request request;
-    final IngressRequest httpRequest;
-    final IngressConnection client;
+    final InboundRequest httpRequest;
+    final InboundConnection client;
     /** In order of their numbers. */
     final List<Attempt> attempts = new ArrayList<>();
     /** The final answer was given, or nobody waits for one any more. */
@@ -22,7 +22,7 @@
     /** The module's own against its being forgotten. */
     TimerWheel.Timer requestTimer;
 
-    PendingRequest(Contract.Request request, IngressRequest from, IngressConnection client) {
+    PendingRequest(Contract.Request request, InboundRequest from, InboundConnection client) {
         this.request = request;
         this.httpRequest = from;
         this.client = client;
--- a/node/src/main/java/hookweir/net/PendingRequests.java
+++ b/node/src/main/java/hookweir/net/PendingRequests.java
@@ -1,7 +1,7 @@
 package hookweir.net;
 
-import hookweir.net.admin.Figures;
-import hookweir.net.server.Ingress;
+import hookweir.net.admin.Metrics;
+import hookweir.net.server.HttpServer;
 import hookweir.room.ResourceBudget;
 import java.util.HashMap;
 import java.util.Locale;
@@ -17,16 +17,16 @@
     private static final int MAX_RECENT_IDS = 4096;
 
     private final Invariants invariants;
-    private final Figures figures;
+    private final Metrics figures;
     private final ActiveSettings active;
     private final ResourceBudget budget;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final Map<Integer, PendingRequest> byNumber = new HashMap<>();
     private final Map<String, PendingRequest> byClientId = new HashMap<>();
     /** Clients' ids of the last requests, held or not. */
     private final Set<String> recentIds = BoundedSets.evictingOldest(MAX_RECENT_IDS);
 
-    PendingRequests(Invariants invariants, Figures figures, ActiveSettings active, ResourceBudget room, Ingress ingress) {
+    PendingRequests(Invariants invariants, Metrics figures, ActiveSettings active, ResourceBudget room, HttpServer ingress) {
         this.invariants = invariants;
         this.figures = figures;
         this.active = active;
@@ -67,8 +67,8 @@
         }
         request.closed = true;
         invariants.count("answers " + status);
-        figures.answered(active.className(request.request.requestClass), status);
-        ingress.answer(request.client, status, retryAfter, body);
+        figures.jobCompleted(active.className(request.request.requestClass), status);
+        ingress.respond(request.client, status, retryAfter, body);
     }
 
     /** Refuses a request: its client may try again, best after so long. */
@@ -85,7 +85,7 @@
                 request.requestTimer.cancel();
             }
             budget.releaseJob();
-            ingress.release(request.httpRequest);
+            ingress.releaseBody(request.httpRequest);
         }
     }
 
--- a/node/src/main/java/hookweir/net/ProcessResources.java
+++ b/node/src/main/java/hookweir/net/ProcessResources.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.config.Config;
-import hookweir.net.server.Ingress;
-import hookweir.net.upgrade.Succession;
+import hookweir.net.server.HttpServer;
+import hookweir.net.upgrade.PeerProcesses;
 import hookweir.net.worker.Egress;
 import hookweir.room.ResourceBudget;
 
@@ -21,13 +21,13 @@
 
     private final ResourceBudget budget;
     private final Egress egress;
-    private final Ingress ingress;
-    private final Succession succession;
+    private final HttpServer ingress;
+    private final PeerProcesses succession;
     private final int maxDescriptors;
     private long maxHeldBytes;
     private int maxHeldJobs;
 
-    ProcessResources(Config config, ResourceBudget room, Egress egress, Ingress ingress, Succession succession) {
+    ProcessResources(Config config, ResourceBudget room, Egress egress, HttpServer ingress, PeerProcesses succession) {
         this.budget = room;
         this.egress = egress;
         this.ingress = ingress;
@@ -48,10 +48,10 @@
 
     /** Divides the limits by the number of processes, and keeps within them. */
     void update() {
-        int processes = 1 + succession.neighbours();
+        int processes = 1 + succession.peerCount();
         budget.setLimits(maxHeldBytes / processes, maxHeldJobs / processes);
         budget.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, maxDescriptors / processes - reservedDescriptors(processes)));
         egress.fit();
-        ingress.fit();
+        ingress.enforceDescriptorLimit();
     }
 }
--- a/node/src/main/java/hookweir/net/RequestRouter.java
+++ b/node/src/main/java/hookweir/net/RequestRouter.java
@@ -1,10 +1,10 @@
 package hookweir.net;
 
-import hookweir.net.admin.Figures;
-import hookweir.net.admin.Standing;
-import hookweir.net.server.Ingress;
-import hookweir.net.server.IngressConnection;
-import hookweir.net.server.IngressRequest;
+import hookweir.net.admin.Metrics;
+import hookweir.net.admin.ServingState;
+import hookweir.net.server.HttpServer;
+import hookweir.net.server.InboundConnection;
+import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestHandler;
 
 /** Routes requests by their path: workers' call-backs, health checks and jobs. Belongs to the {@link Loop}. */
@@ -13,14 +13,14 @@
     private static final String POST = "POST";
 
     private final Invariants invariants;
-    private final Standing standing;
-    private final Figures figures;
+    private final ServingState standing;
+    private final Metrics figures;
     private final ActiveSettings active;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final CallbackReceiver callbacks;
     private final JobAdmission admission;
 
-    RequestRouter(Invariants invariants, Standing standing, Figures figures, ActiveSettings active, Ingress ingress,
+    RequestRouter(Invariants invariants, ServingState standing, Metrics figures, ActiveSettings active, HttpServer ingress,
             CallbackReceiver callbacks, JobAdmission intake) {
         this.invariants = invariants;
         this.standing = standing;
@@ -32,35 +32,35 @@
     }
 
     @Override
-    public void request(IngressConnection from, IngressRequest request) {
+    public void handle(InboundConnection from, InboundRequest request) {
         if (!route(from, request)) {
-            ingress.release(request);
+            ingress.releaseBody(request);
         }
     }
 
     /** Whether the request is held from now on. */
-    private boolean route(IngressConnection from, IngressRequest request) {
+    private boolean route(InboundConnection from, InboundRequest request) {
         if (request.path().equals("/callback")) {
             callback(from, request);
         } else if (request.path().equals("/healthz")) {
-            ingress.answer(from, standing.wantsClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, null, NO_BODY);
+            ingress.respond(from, standing.wantsNewClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, null, NO_BODY);
         } else if (!isJob(request.path())) {
             invariants.count("ingress unknown path");
-            ingress.answer(from, HttpStatus.NOT_FOUND, null, NO_BODY);
+            ingress.respond(from, HttpStatus.NOT_FOUND, null, NO_BODY);
         } else if (!request.method().equals(POST)) {
-            ingress.answer(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
+            ingress.respond(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
         } else {
             return admission.accept(from, request);
         }
         return false;
     }
 
-    private void callback(IngressConnection from, IngressRequest request) {
-        ingress.carriesCallbacks(from);
+    private void callback(InboundConnection from, InboundRequest request) {
+        ingress.markCallbackConnection(from);
         if (request.method().equals(POST)) {
             callbacks.receive(from, request.body());
         } else {
-            ingress.answer(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
+            ingress.respond(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
         }
     }
 
@@ -72,14 +72,14 @@
 
     @Override
     public int classNumber(String className) {
-        return active.requestParser().numberOf(className);
+        return active.requestParser().classNumber(className);
     }
 
     @Override
-    public void rejected(String className) {
+    public void jobRejected(String className) {
         int number = classNumber(className);
         if (number >= 0) {
-            figures.turnedAway(active.className(number));
+            figures.jobRejected(active.className(number));
         }
     }
 
--- a/node/src/main/java/hookweir/net/Shutdown.java
+++ b/node/src/main/java/hookweir/net/Shutdown.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.Contract;
-import hookweir.net.admin.Standing;
-import hookweir.net.server.Ingress;
+import hookweir.net.admin.ServingState;
+import hookweir.net.server.HttpServer;
 
 /**
  * Sends clients away while operators, a later process or a planned end want it, and stops the loop at a planned end once
@@ -16,15 +16,15 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Standing standing;
-    private final Ingress ingress;
+    private final ServingState standing;
+    private final HttpServer ingress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private boolean draining;
     /** A later process has taken over the clients. */
     private boolean setSuccessorServing;
 
-    Shutdown(Loop loop, Invariants invariants, Standing standing, Ingress ingress, PendingRequests held, Contract.Dispatcher module) {
+    Shutdown(Loop loop, Invariants invariants, ServingState standing, HttpServer ingress, PendingRequests held, Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
         this.standing = standing;
@@ -37,8 +37,8 @@
     void setSuccessorServing(boolean on) {
         if (on != setSuccessorServing) {
             setSuccessorServing = on;
-            standing.succeeded(on);
-            ingress.accepts(!on);
+            standing.setSuccessorServing(on);
+            ingress.setAccepting(!on);
             updateClientDraining();
         }
     }
@@ -47,7 +47,7 @@
     void updateClientDraining() {
         boolean away = standing.isQuiesced() || draining || setSuccessorServing;
         invariants.count(away ? "clients sent away" : "clients welcome");
-        ingress.sendAway(away);
+        ingress.setDraining(away);
     }
 
     /**
@@ -59,19 +59,19 @@
             return;
         }
         draining = true;
-        standing.leaves();
+        standing.startShutdown();
         int heldBefore = pending.size();
         long since = loop.nowUs();
-        ingress.sendAway(true);
+        ingress.setDraining(true);
         module.shutdownStarted(since, since + RETRY_WINDOW_US);
         Log.line("draining, held=" + heldBefore + ", of them let go at once " + pending.respondedCount());
         loop.schedule(MIN_DRAIN_US, () -> exitWhenIdle(since));
     }
 
     private void exitWhenIdle(long since) {
-        if (pending.isEmpty() && ingress.quiet()) {
+        if (pending.isEmpty() && ingress.isDrained()) {
             // Whoever comes now waits in an inherited socket for the process that follows.
-            ingress.accepts(false);
+            ingress.setAccepting(false);
             Log.line("idle " + (loop.nowUs() - since) / 1000 + " ms after the signal, leaving; " + invariants);
             loop.stop();
         } else {
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -6,14 +6,14 @@
 import hookweir.Contract.Report;
 import hookweir.Policy;
 import hookweir.config.Config;
-import hookweir.net.admin.Figures;
-import hookweir.net.admin.Standing;
-import hookweir.net.server.Ingress;
-import hookweir.net.server.IngressConnection;
-import hookweir.net.server.IngressRequest;
+import hookweir.net.admin.Metrics;
+import hookweir.net.admin.ServingState;
+import hookweir.net.server.HttpServer;
+import hookweir.net.server.InboundConnection;
+import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestHandler;
-import hookweir.net.upgrade.Succession;
-import hookweir.net.upgrade.Wire;
+import hookweir.net.upgrade.PeerConnection;
+import hookweir.net.upgrade.PeerProcesses;
 import hookweir.net.worker.Egress;
 import hookweir.room.ResourceBudget;
 import java.io.IOException;
@@ -30,14 +30,14 @@
     private final Loop loop;
     private final Invariants invariants;
     private final EventLog events;
-    private final Standing standing;
-    private final Figures figures;
+    private final ServingState standing;
+    private final Metrics figures;
     private final ActiveSettings active;
     private final Contract.Dispatcher module;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final Egress egress;
     private final Membership membership;
-    private final Succession succession;
+    private final PeerProcesses succession;
     private final ProcessResources resources;
     private final PendingRequests pending;
     private final AttemptSender attempts;
@@ -49,8 +49,8 @@
     /** Another process of this scheduler serves already when this one starts. */
     private boolean startedAsSuccessor;
 
-    public SocketHost(Config config, Loop loop, Transport transport, Invariants invariants, Standing standing,
-            Figures figures) {
+    public SocketHost(Config config, Loop loop, Transport transport, Invariants invariants, ServingState standing,
+            Metrics figures) {
         this.loop = loop;
         this.invariants = invariants;
         this.standing = standing;
@@ -59,11 +59,11 @@
         ResourceBudget budget = new ResourceBudget(config.maxHeldBytes(), config.maxHeldJobs());
         active = new ActiveSettings(budget, figures, config.settings());
         Connector dialer = new Connector(loop, transport);
-        ingress = new Ingress(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
-        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::size);
+        ingress = new HttpServer(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
+        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::connectionCount);
         module = new Policy(active.settings(), config.seed(), this);
         membership = new Membership(config, loop, dialer, invariants, events, egress, module, this::ready);
-        succession = new Succession(loop, invariants, config.handoverSocketPath(), new PeerListener());
+        succession = new PeerProcesses(loop, invariants, config.handoverSocketPath(), new PeerListener());
         resources = new ProcessResources(config, budget, egress, ingress, succession);
         pending = new PendingRequests(invariants, figures, active, budget, ingress);
         attempts = new AttemptSender(this, loop, invariants, events, active, egress, pending, module);
@@ -84,8 +84,8 @@
     /** Passes requests to the router, which can't be made before the ingress that answers them. */
     private final class RequestForwarder implements RequestHandler {
         @Override
-        public void request(IngressConnection from, IngressRequest request) {
-            router.request(from, request);
+        public void handle(InboundConnection from, InboundRequest request) {
+            router.handle(from, request);
         }
 
         @Override
@@ -99,8 +99,8 @@
         }
 
         @Override
-        public void rejected(String className) {
-            router.rejected(className);
+        public void jobRejected(String className) {
+            router.jobRejected(className);
         }
 
         @Override
@@ -110,15 +110,15 @@
     }
 
     /** Receives what other processes of this scheduler do. */
-    private final class PeerListener implements Succession.Listener {
+    private final class PeerListener implements PeerProcesses.Listener {
         @Override
-        public void neighboursChanged() {
+        public void peersChanged() {
             resources.update();
-            shutdown.setSuccessorServing(succession.succeeded());
+            shutdown.setSuccessorServing(succession.hasServingSuccessor());
         }
 
         @Override
-        public void passed(byte[] callback, Wire from, Consumer<Boolean> verdict) {
+        public void callbackForwarded(byte[] callback, PeerConnection from, Consumer<Boolean> verdict) {
             callbacks.receiveForwarded(callback, from, verdict);
         }
     }
@@ -138,9 +138,9 @@
      */
     public int listen(Config config) throws IOException {
         int port = ingress.listen(config.listenAddress(), config.inheritsListenSocket());
-        startedAsSuccessor = succession.follow();
+        startedAsSuccessor = succession.connectToPredecessor();
         if (startedAsSuccessor) {
-            ingress.accepts(false);
+            ingress.setAccepting(false);
         }
         return port;
     }
@@ -148,11 +148,11 @@
     /** The workers are known as well as they can be: requests are sent on from now on. */
     private void ready() {
         if (startedAsSuccessor) {
-            ingress.accepts(true);
+            ingress.setAccepting(true);
         }
         reporter.publish();
-        standing.serves();
-        succession.serves();
+        standing.startServing();
+        succession.announceServing();
         Log.line(startedAsSuccessor ? "took over" : "ready");
     }
 
@@ -169,7 +169,7 @@
         module.settingsChanged(loop.nowUs(), active.settings());
         membership.moveTo(next.listServiceAddress());
         invariants.count("reloads");
-        figures.reloaded(true);
+        figures.configurationReloaded(true);
         Log.line("reloaded: discovery " + next.listServiceAddress() + ", classes " + next.settings().classNumbers + ", at most "
             + active.settings().maxAttempts + " attempts");
     }
@@ -186,7 +186,7 @@
 
     /** Ends what no connection's end does. */
     void close() {
-        succession.end();
+        succession.close();
     }
 
     // ---- what attempts need ----
@@ -198,7 +198,7 @@
 
     /** An attempt's last byte is written. */
     void attemptWritten() {
-        figures.dispatched();
+        figures.attemptDispatched();
     }
 
     /** A report from an answer's header, or null. */
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
 import hookweir.Contract;
-import hookweir.net.admin.Figures;
-import hookweir.net.server.Ingress;
+import hookweir.net.admin.Metrics;
+import hookweir.net.server.HttpServer;
 import hookweir.net.worker.Egress;
 import hookweir.room.ResourceBudget;
 
@@ -14,15 +14,15 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Figures figures;
+    private final Metrics figures;
     private final ResourceBudget budget;
-    private final Ingress ingress;
+    private final HttpServer ingress;
     private final Egress egress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Figures figures, ResourceBudget room, Ingress ingress, Egress egress, PendingRequests held,
+    StatusReporter(Loop loop, Invariants invariants, Metrics figures, ResourceBudget room, HttpServer ingress, Egress egress, PendingRequests held,
             Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
@@ -42,7 +42,7 @@
     }
 
     private void logRegularly() {
-        Log.line("held=" + pending.size() + " ingress=" + ingress.size() + " egress=" + egress.size() + " bytes=" + budget.heldBytes()
+        Log.line("held=" + pending.size() + " ingress=" + ingress.connectionCount() + " egress=" + egress.size() + " bytes=" + budget.heldBytes()
             + " timers=" + loop.timerCount() + " " + invariants);
         loop.schedule(LOG_INTERVAL_US, this::logRegularly);
     }
@@ -54,8 +54,8 @@
 
     /** Publishes the figures. The module is asked here, so that no operator waits for the loop. */
     void publish() {
-        figures.held(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
-        figures.listLease(membership.leaseRemainingUs() / US_PER_MS);
-        figures.targets(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
+        figures.setHeld(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
+        figures.setListLease(membership.leaseRemainingUs() / US_PER_MS);
+        figures.setWorkers(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
     }
 }
--- a/node/src/main/java/hookweir/net/server/BodyAdmission.java
+++ b/node/src/main/java/hookweir/net/server/BodyAdmission.java
@@ -19,13 +19,13 @@
     private final Invariants invariants;
     private final ResourceBudget room;
     private final RequestHandler handler;
-    private final InputControl input;
+    private final ReadControl input;
     private final ConnectionCloser closer;
     private final ResponseWriter writer;
     private final ConnectionTable connections;
-    private final Consumer<IngressConnection> readBuffered;
+    private final Consumer<InboundConnection> readBuffered;
     /** Connections whose body waits for room, in order of arrival. */
-    private final Set<IngressConnection> waiting = new LinkedHashSet<>();
+    private final Set<InboundConnection> waiting = new LinkedHashSet<>();
     private boolean retryPosted;
 
     /**
@@ -33,8 +33,8 @@
      *
      * @param readBuffered parses a connection's buffered input once its body was admitted
      */
-    BodyAdmission(Loop loop, Invariants invariants, ResourceBudget room, RequestHandler handler, InputControl input, ConnectionCloser closer,
-            ResponseWriter writer, ConnectionTable connections, Consumer<IngressConnection> readBuffered) {
+    BodyAdmission(Loop loop, Invariants invariants, ResourceBudget room, RequestHandler handler, ReadControl input, ConnectionCloser closer,
+            ResponseWriter writer, ConnectionTable connections, Consumer<InboundConnection> readBuffered) {
         this.loop = loop;
         this.invariants = invariants;
         this.room = room;
@@ -47,25 +47,25 @@
     }
 
     /** Reserves room for the announced body, or has the connection wait for it and returns false. True also where it was rejected. */
-    boolean admit(IngressConnection c) {
-        int bytes = c.framing.announced();
-        c.callback = BodyReservations.isCallback(c.framing.path());
-        if (exceedsClientLimit(c, c.framing.path())) {
-            reject(c, c.framing.kind());
+    boolean admit(InboundConnection c) {
+        int bytes = c.decoder.announcedBodyBytes();
+        c.receivingCallback = BodyReservations.isCallback(c.decoder.path());
+        if (exceedsClientLimit(c, c.decoder.path())) {
+            reject(c, c.decoder.className());
             return true;
         }
-        ResourceBudget.Admission verdict = c.callback ? room.reserveResult(bytes) : room.reserveBody(handler.classNumber(c.framing.kind()), bytes);
+        ResourceBudget.Admission verdict = c.receivingCallback ? room.reserveResult(bytes) : room.reserveBody(handler.classNumber(c.decoder.className()), bytes);
         if (verdict == ResourceBudget.Admission.ADMIT) {
             c.reservedBytes = bytes;
-            c.framing.admit();
-            if (c.framing.takeExpectation()) {
+            c.decoder.admitBody();
+            if (c.decoder.takeExpectContinue()) {
                 writer.writeContinue(c);
             }
             return true;
         }
-        if (c.waitingSinceUs == 0) {
+        if (c.budgetWaitSinceUs == 0) {
             invariants.count("ingress waits for room");
-            c.waitingSinceUs = loop.nowUs();
+            c.budgetWaitSinceUs = loop.nowUs();
             waiting.add(c);
             input.updateReading(c);
         }
@@ -73,12 +73,12 @@
     }
 
     /** Clients have all the connections they may, and none can be closed: the remaining ones are for workers' call-backs. */
-    boolean exceedsClientLimit(IngressConnection c, String path) {
-        return !c.carriesJobs && connections.clientLimitReached() && handler.isJob(path) && !connections.evictIdleClient();
+    boolean exceedsClientLimit(InboundConnection c, String path) {
+        return !c.carriesJobs && connections.isClientLimitReached() && handler.isJob(path) && !connections.evictIdleClient();
     }
 
     /** Room was released: the connections that wait for it are tried again in the loop's next turn. */
-    void roomReleased() {
+    void budgetReleased() {
         if (!waiting.isEmpty() && !retryPosted) {
             retryPosted = true;
             loop.post(this::retryWaiting);
@@ -87,38 +87,38 @@
 
     private void retryWaiting() {
         retryPosted = false;
-        for (IngressConnection c : new ArrayList<>(waiting)) {
-            if (!c.closing() && admit(c)) {
+        for (InboundConnection c : new ArrayList<>(waiting)) {
+            if (!c.isClosing() && admit(c)) {
                 resume(c);
             }
         }
     }
 
-    private void resume(IngressConnection c) {
+    private void resume(InboundConnection c) {
         if (c.ignoresInput()) {
             return; // it was rejected
         }
         waiting.remove(c);
-        c.waitingSinceUs = 0;
-        c.partialSinceUs = loop.nowUs(); // the client is not charged for the wait
+        c.budgetWaitSinceUs = 0;
+        c.partialRequestSinceUs = loop.nowUs(); // the client is not charged for the wait
         readBuffered.accept(c);
         input.updateReading(c);
     }
 
     /** Rejects the request being read for lack of room; the client is told after its pending answers. */
-    void reject(IngressConnection c, String className) {
+    void reject(InboundConnection c, String className) {
         waiting.remove(c);
-        c.waitingSinceUs = 0;
-        input.setUnparsed(c, null);
+        c.budgetWaitSinceUs = 0;
+        input.setUnparsedInput(c, null);
         invariants.count("ingress turned away for room");
-        handler.rejected(className);
-        input.discard(c, 0);
+        handler.jobRejected(className);
+        input.discardInput(c, 0);
         input.updateReading(c);
-        closer.closeUnreadable(c, HttpStatus.TOO_MANY_REQUESTS);
+        closer.closeWithErrorAfterPending(c, HttpStatus.TOO_MANY_REQUESTS);
     }
 
     /** Forgets a closed connection. */
-    void closed(IngressConnection c) {
+    void connectionClosed(InboundConnection c) {
         waiting.remove(c);
     }
 }
--- a/node/src/main/java/hookweir/net/server/BodyReservations.java
+++ b/node/src/main/java/hookweir/net/server/BodyReservations.java
@@ -28,10 +28,10 @@
     }
 
     /** Ends the reservation of the message being read: its body takes so many bytes, the others are released. */
-    void consume(IngressConnection c, int bodyBytes) {
+    void consume(InboundConnection c, int bodyBytes) {
         int unused = c.reservedBytes - bodyBytes;
         if (unused > 0) {
-            release(c.callback, unused);
+            release(c.receivingCallback, unused);
         } else if (unused < 0) {
             invariants.check(false, "a body was longer than announced");
         }
@@ -39,7 +39,7 @@
     }
 
     /** Releases the body of a whole request. */
-    void release(IngressRequest request) {
+    void release(InboundRequest request) {
         if (request.body().length > 0) {
             release(isCallback(request.path()), request.body().length);
         }
--- a/node/src/main/java/hookweir/net/server/Callback.java
+++ b/node/src/main/java/hookweir/net/server/Callback.java
@@ -11,15 +11,15 @@
  * What a worker tells of a job.
  *
  * @param id the request's id
- * @param from the worker's id
+ * @param workerId the worker's id
  * @param state started, running, done, failed, returned or lost
- * @param share how much is done, for running
+ * @param completedShare how much is done, for running
  * @param result the result's bytes, unaltered, for done
- * @param load a load report, or null
+ * @param loadReport a load report, or null
  */
-public record Callback(String id, String from, String state, double share, byte[] result, JsonNode load) {
+public record Callback(String id, String workerId, String state, double completedShare, byte[] result, JsonNode loadReport) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_RESULT = new byte[0];
 
     /** Reads the body of a call; null where it is no such object. */
     public static Callback parse(byte[] body) {
@@ -27,7 +27,7 @@
         String from = null;
         String state = null;
         double share = 0;
-        byte[] result = NOTHING;
+        byte[] result = EMPTY_RESULT;
         JsonNode load = null;
         // Field by field: most are short, and a tree of the whole would cost several times their bytes.
         try (JsonParser in = JSON.createParser(body)) {
@@ -36,13 +36,13 @@
             }
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
-                boolean text = in.nextToken() == JsonToken.VALUE_STRING;
+                boolean isString = in.nextToken() == JsonToken.VALUE_STRING;
                 switch (field) {
-                    case "id" -> id = text ? in.getText() : null;
-                    case "from" -> from = text ? in.getText() : null;
-                    case "state" -> state = text ? in.getText() : null;
+                    case "id" -> id = isString ? in.getText() : null;
+                    case "from" -> from = isString ? in.getText() : null;
+                    case "state" -> state = isString ? in.getText() : null;
                     case "share" -> share = in.getValueAsDouble(0);
-                    case "result" -> result = (text ? in.getText() : in.readValueAsTree().toString()).getBytes(StandardCharsets.UTF_8);
+                    case "result" -> result = (isString ? in.getText() : in.readValueAsTree().toString()).getBytes(StandardCharsets.UTF_8);
                     case "load" -> load = in.readValueAsTree();
                     default -> in.skipChildren();
                 }
--- a/node/src/main/java/hookweir/net/server/ConnectionCloser.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionCloser.java
@@ -6,7 +6,7 @@
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
 import hookweir.net.MessageBuilder;
-import hookweir.net.server.IngressConnection.Phase;
+import hookweir.net.server.InboundConnection.Phase;
 import java.util.function.Supplier;
 
 /** Ends connections so that no answer is lost: an error response where one is due, then a lingering close. Belongs to the loop. */
@@ -16,7 +16,7 @@
     private final Loop loop;
     private final Invariants invariants;
     private final EventLog events;
-    private final InputControl input;
+    private final ReadControl input;
     private final ResponseWriter writer;
     private final Supplier<String> retryAfter;
 
@@ -25,7 +25,7 @@
      *
      * @param retryAfter the Retry-After header's value for those that are told to come back, or null
      */
-    ConnectionCloser(Loop loop, Invariants invariants, EventLog events, InputControl input, ResponseWriter writer, Supplier<String> retryAfter) {
+    ConnectionCloser(Loop loop, Invariants invariants, EventLog events, ReadControl input, ResponseWriter writer, Supplier<String> retryAfter) {
         this.loop = loop;
         this.invariants = invariants;
         this.events = events;
@@ -35,16 +35,16 @@
     }
 
     /** The connection's input can't be parsed: an error with this status ends it, after the answers to its earlier requests. */
-    void closeUnreadable(IngressConnection c, int status) {
+    void closeWithErrorAfterPending(InboundConnection c, int status) {
         invariants.count("ingress unreadable " + status);
         c.errorStatus = status;
-        if (c.idle() && !c.closing()) {
+        if (c.isIdle() && !c.isClosing()) {
             closeWithError(c);
         }
     }
 
     /** Answers with the connection's error status and ends the connection. */
-    void closeWithError(IngressConnection c) {
+    void closeWithError(InboundConnection c) {
         beginFinalResponse(c);
         MessageBuilder head = writer.head(c.errorStatus, 0, c.errorStatus == HttpStatus.TOO_MANY_REQUESTS ? retryAfter.get() : null)
             .header("Connection", "close");
@@ -52,8 +52,8 @@
     }
 
     /** The response that is written next is the connection's last one. */
-    void beginFinalResponse(IngressConnection c) {
-        c.enter(Phase.FINAL_RESPONSE);
+    void beginFinalResponse(InboundConnection c) {
+        c.advanceTo(Phase.FINAL_RESPONSE);
         input.updateReading(c);
     }
 
@@ -61,24 +61,24 @@
      * Closes a connection whose client may still write: shuts its output and discards its input until the client's end or a
      * time limit. A client that reads on sees the end at once, and its own end is seen here.
      */
-    void close(IngressConnection c, CloseReason reason) {
-        if (!c.enter(Phase.LINGERING)) {
+    void close(InboundConnection c, CloseReason reason) {
+        if (!c.advanceTo(Phase.LINGERING)) {
             return;
         }
-        closing(c, reason);
-        if (HalfClose.shutdownOutput(c.connection)) {
-            input.discard(c, 0);
-            input.setUnparsed(c, null);
+        recordClose(c, reason);
+        if (HalfClose.shutdownOutput(c.transportConnection)) {
+            input.discardInput(c, 0);
+            input.setUnparsedInput(c, null);
             input.updateReading(c);
-            c.lingerLimit = loop.schedule(HalfClose.LINGER_US, c.connection::closeSilently);
+            c.lingerTimer = loop.schedule(HalfClose.LINGER_US, c.transportConnection::closeSilently);
         }
     }
 
     /** Notes why a connection is ended, whoever ends it. */
-    void closing(IngressConnection c, CloseReason reason) {
+    void recordClose(InboundConnection c, CloseReason reason) {
         invariants.count("ingress closed " + reason);
         if (reason != CloseReason.LAST_ANSWER) {
-            events.log(() -> "connection of " + c.peer() + " closed: " + reason + (c.errorStatus == 0 ? "" : " " + c.errorStatus));
+            events.log(() -> "connection of " + c.peerAddress() + " closed: " + reason + (c.errorStatus == 0 ? "" : " " + c.errorStatus));
         }
     }
 }
--- a/node/src/main/java/hookweir/net/server/ConnectionTable.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionTable.java
@@ -2,7 +2,7 @@
 
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
-import hookweir.net.server.IngressConnection.Phase;
+import hookweir.net.server.InboundConnection.Phase;
 import hookweir.room.ResourceBudget;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -25,16 +25,16 @@
     private final Invariants invariants;
     private final ResourceBudget room;
     private final IntSupplier workerLinks;
-    private final Door door;
+    private final Acceptor door;
     private final ConnectionCloser closer;
-    private final Set<IngressConnection> connections = new LinkedHashSet<>();
+    private final Set<InboundConnection> connections = new LinkedHashSet<>();
     /** Evicted connections that still linger. */
-    private final Set<IngressConnection> lingeringEvicted = new LinkedHashSet<>();
+    private final Set<InboundConnection> lingeringEvicted = new LinkedHashSet<>();
     /** Connections that brought a job. */
-    private int clients;
-    private long noneIdleUntilUs;
+    private int clientConnections;
+    private long nextIdleSearchUs;
 
-    ConnectionTable(Loop loop, Invariants invariants, ResourceBudget room, IntSupplier workerLinks, Door door, ConnectionCloser closer) {
+    ConnectionTable(Loop loop, Invariants invariants, ResourceBudget room, IntSupplier workerLinks, Acceptor door, ConnectionCloser closer) {
         this.loop = loop;
         this.invariants = invariants;
         this.room = room;
@@ -44,115 +44,115 @@
     }
 
     /** Adds an accepted connection. */
-    void opened(IngressConnection c) {
+    void add(InboundConnection c) {
         connections.add(c);
-        fit();
+        enforceDescriptorLimit();
     }
 
     /** Removes a closed connection. */
-    void closed(IngressConnection c) {
+    void remove(InboundConnection c) {
         connections.remove(c);
         if (c.carriesJobs) {
-            clients--;
+            clientConnections--;
         }
         lingeringEvicted.remove(c);
-        if (door.isFull()) {
-            fit();
+        if (door.isDescriptorLimitReached()) {
+            enforceDescriptorLimit();
         }
     }
 
     /** Makes a connection the most recently used one. */
-    void used(IngressConnection c) {
+    void markUsed(InboundConnection c) {
         connections.remove(c);
         connections.add(c);
     }
 
     /** Counts a connection as a client's. */
-    void carriesJobs(IngressConnection c) {
+    void markClientConnection(InboundConnection c) {
         if (!c.carriesJobs) {
             c.carriesJobs = true;
-            clients++;
+            clientConnections++;
         }
     }
 
     /** Whether clients have as many connections as they may. */
-    boolean clientLimitReached() {
-        return clients >= room.maxClientConnections();
+    boolean isClientLimitReached() {
+        return clientConnections >= room.maxClientConnections();
     }
 
     /** Whether new connections wait in the kernel for a descriptor. */
-    boolean isFull() {
-        return door.isFull();
+    boolean isDescriptorLimitReached() {
+        return door.isDescriptorLimitReached();
     }
 
     /** Evicts the client's connection that has been idle longest, so that another may bring a job; false where there is none. */
     boolean evictIdleClient() {
         long now = loop.nowUs();
-        if (now < noneIdleUntilUs) {
+        if (now < nextIdleSearchUs) {
             return false;
         }
-        for (IngressConnection c : connections) {
-            if (c.carriesJobs && c.resting() && !c.closing() && c.cost(now) < IngressConnection.YOUNG) {
+        for (InboundConnection c : connections) {
+            if (c.carriesJobs && c.isIdleKeepAlive() && !c.isClosing() && c.evictionCost(now) < InboundConnection.COST_REQUEST_EXPECTED) {
                 invariants.count("ingress made way for a job");
                 evict(c);
                 return true;
             }
         }
-        noneIdleUntilUs = now + IDLE_SEARCH_INTERVAL_US;
+        nextIdleSearchUs = now + IDLE_SEARCH_INTERVAL_US;
         return false;
     }
 
     /** Keeps within the limit on descriptors: evicts connections as far as that harms nobody, and else stops accepting. */
-    void fit() {
+    void enforceDescriptorLimit() {
         int limit = room.maxAcceptedConnections(workerLinks.getAsInt());
         for (var victim = findVictim(); connections.size() > limit && victim.isPresent(); victim = findVictim()) {
             evict(victim.get());
         }
         // Once it is shut the door opens where a connection may make way for the next: idle ones would keep everybody out.
-        door.full(connections.size() > limit || connections.size() == limit && door.isFull() && cheapest().isEmpty());
+        door.setDescriptorLimitReached(connections.size() > limit || connections.size() == limit && door.isDescriptorLimitReached() && findCheapest().isEmpty());
     }
 
     /**
      * The connection that costs least to end, of several such the least recently used; empty where each would lose a job.
      * New clients then wait in the kernel: those with a job under way get their answers first.
      */
-    private Optional<IngressConnection> findVictim() {
-        return connections.size() <= room.maxAcceptedConnections(workerLinks.getAsInt()) ? Optional.empty() : cheapest();
+    private Optional<InboundConnection> findVictim() {
+        return connections.size() <= room.maxAcceptedConnections(workerLinks.getAsInt()) ? Optional.empty() : findCheapest();
     }
 
-    private Optional<IngressConnection> cheapest() {
+    private Optional<InboundConnection> findCheapest() {
         long now = loop.nowUs();
-        IngressConnection best = null;
-        int leastCost = IngressConnection.YOUNG;
-        for (IngressConnection c : connections) {
-            int cost = c.cost(now);
-            if (cost < leastCost) {
-                leastCost = cost;
+        InboundConnection best = null;
+        int lowestCost = InboundConnection.COST_REQUEST_EXPECTED;
+        for (InboundConnection c : connections) {
+            int cost = c.evictionCost(now);
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = c;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private void evict(IngressConnection victim) {
+    private void evict(InboundConnection victim) {
         invariants.count("ingress closed at the cap");
         connections.remove(victim);
         if (victim.carriesJobs) {
             victim.carriesJobs = false;
-            clients--;
+            clientConnections--;
         }
-        if (victim.resting() && lingeringEvicted.size() < MAX_LINGERING_EVICTED) {
+        if (victim.isIdleKeepAlive() && lingeringEvicted.size() < MAX_LINGERING_EVICTED) {
             lingeringEvicted.add(victim);
             closer.close(victim, CloseReason.EVICTED);
         } else {
-            closer.closing(victim, CloseReason.EVICTED);
-            victim.enter(Phase.CLOSED);
-            victim.connection.closeSilently();
+            closer.recordClose(victim, CloseReason.EVICTED);
+            victim.advanceTo(Phase.CLOSED);
+            victim.transportConnection.closeSilently();
         }
     }
 
     /** A copy of the table, for loops that may end connections. */
-    List<IngressConnection> snapshot() {
+    List<InboundConnection> snapshot() {
         return new ArrayList<>(connections);
     }
 
@@ -162,7 +162,7 @@
     }
 
     /** Whether all that is left are workers' connections without a request under way. */
-    boolean isQuiet() {
-        return lingeringEvicted.isEmpty() && connections.stream().allMatch(c -> c.isQuiet() && c.carriesCallbacks);
+    boolean hasOnlyIdleCallbackConnections() {
+        return lingeringEvicted.isEmpty() && connections.stream().allMatch(c -> c.isInactive() && c.carriesCallbacks);
     }
 }
--- a/node/src/main/java/hookweir/net/server/Ingress.java
+++ b/node/src/main/java/hookweir/net/server/HttpServer.java
@@ -4,7 +4,7 @@
 import hookweir.net.Invariants;
 import hookweir.net.Loop;
 import hookweir.net.Transport;
-import hookweir.net.server.IngressConnection.Phase;
+import hookweir.net.server.InboundConnection.Phase;
 import hookweir.room.ResourceBudget;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,17 +19,17 @@
  * business, so another protocol's ingress can stand beside it. This class puts its parts together; all of them belong to the
  * loop.
  */
-public final class Ingress {
+public final class HttpServer {
     private final Loop loop;
     private final BodyReservations reservations;
-    private final InputControl input;
+    private final ReadControl readControl;
     private final ResponseWriter writer;
     private final ConnectionCloser closer;
-    private final Door door;
+    private final Acceptor acceptor;
     private final ConnectionTable connections;
     private final BodyAdmission admission;
-    private final ConnectionSweep sweep;
-    private final RequestQueue queue;
+    private final ConnectionSweeper sweeper;
+    private final RequestQueue requestQueue;
     private final RequestReader reader;
 
     /**
@@ -37,70 +37,70 @@
      *
      * @param workerLinks how many links to workers there are: they share the descriptors
      */
-    public Ingress(Loop loop, Transport transport, Invariants invariants, EventLog events, ResourceBudget room, IntSupplier workerLinks, RequestHandler handler) {
+    public HttpServer(Loop loop, Transport transport, Invariants invariants, EventLog events, ResourceBudget room, IntSupplier workerLinks, RequestHandler handler) {
         this.loop = loop;
-        reservations = new BodyReservations(invariants, room, this::roomReleased);
-        input = new InputControl(loop, invariants, reservations);
+        reservations = new BodyReservations(invariants, room, this::budgetReleased);
+        readControl = new ReadControl(loop, invariants, reservations);
         writer = new ResponseWriter(loop, transport, room);
-        closer = new ConnectionCloser(loop, invariants, events, input, writer, handler::retryAfter);
-        door = new Door(loop, binding(transport), invariants);
-        connections = new ConnectionTable(loop, invariants, room, workerLinks, door, closer);
-        admission = new BodyAdmission(loop, invariants, room, handler, input, closer, writer, connections, this::readBuffered);
-        sweep = new ConnectionSweep(loop, invariants, room, connections, admission, closer);
-        queue = new RequestQueue(loop, invariants, handler, reservations, input, admission, connections, sweep, closer, writer,
+        closer = new ConnectionCloser(loop, invariants, events, readControl, writer, handler::retryAfter);
+        acceptor = new Acceptor(loop, binding(transport), invariants);
+        connections = new ConnectionTable(loop, invariants, room, workerLinks, acceptor, closer);
+        admission = new BodyAdmission(loop, invariants, room, handler, readControl, closer, writer, connections, this::readBuffered);
+        sweeper = new ConnectionSweeper(loop, invariants, room, connections, admission, closer);
+        requestQueue = new RequestQueue(loop, invariants, handler, reservations, readControl, admission, connections, sweeper, closer, writer,
             this::readBuffered);
-        reader = new RequestReader(loop, invariants, reservations, input, admission, closer, queue);
+        reader = new RequestReader(loop, invariants, reservations, readControl, admission, closer, requestQueue);
     }
 
     private TCPNIOBindingHandler binding(Transport transport) {
         return TCPNIOBindingHandler.builder(transport.tcp()).processor(FilterChainBuilder.stateless()
-            .add(new TransportFilter()).add(new RequestFilter(loop, transport, new ConnectionEvents())).build()).build();
+            .add(new TransportFilter()).add(new RequestFilter(loop, transport, new ConnectionListener())).build()).build();
     }
 
-    private void roomReleased() {
-        admission.roomReleased();
+    private void budgetReleased() {
+        admission.budgetReleased();
     }
 
-    private void readBuffered(IngressConnection c) {
+    private void readBuffered(InboundConnection c) {
         reader.readBuffered(c);
     }
 
     /** Takes the address, or the listening socket inherited as descriptor 0; the port that it got. */
-    public int listen(InetSocketAddress at, boolean inherited) throws IOException {
-        int port = door.listen(at, inherited);
-        loop.post(sweep::run);
+    public int listen(InetSocketAddress address, boolean inherited) throws IOException {
+        int port = acceptor.listen(address, inherited);
+        loop.post(sweeper::run);
         return port;
     }
 
     /** Lets clients in, or leaves them to whoever else accepts from the same socket. */
-    public void accepts(boolean on) {
-        door.accepts(on);
+    public void setAccepting(boolean accepting) {
+        acceptor.setAccepting(accepting);
     }
 
     /** Releases the body of a request that is no longer held. */
-    public void release(IngressRequest request) {
+    public void releaseBody(InboundRequest request) {
         reservations.release(request);
     }
 
     /** Keeps within the descriptors that there are: ends connections as far as that harms nobody, and else stops accepting. */
-    public void fit() {
-        connections.fit();
+    public void enforceDescriptorLimit() {
+        connections.enforceDescriptorLimit();
     }
 
     /** Counts the connection as a client's, and sets what to do if the client disconnects before its answer. */
-    public void onDisconnect(IngressConnection c, Runnable action) {
-        connections.carriesJobs(c);
+    public void setClientDisconnectAction(InboundConnection c, Runnable action) {
+        connections.markClientConnection(c);
         c.onDisconnect = action;
     }
 
     /** Marks a connection that carries call-backs: it is of use for as long as jobs are out. */
-    public void carriesCallbacks(IngressConnection c) {
+    public void markCallbackConnection(InboundConnection c) {
         c.carriesCallbacks = true;
     }
 
     /** Answers the connection's request under way; retryAfter may be null. */
-    public void answer(IngressConnection c, int status, String retryAfter, byte[] body) {
-        queue.answer(c, status, retryAfter, body);
+    public void respond(InboundConnection c, int status, String retryAfter, byte[] body) {
+        requestQueue.respond(c, status, retryAfter, body);
     }
 
     /**
@@ -108,46 +108,46 @@
      * are still accepted and served. A connection whose first request is due, or on which one is coming in, is not idle: its
      * client would lose a job.
      */
-    public void sendAway(boolean on) {
-        sweep.sendAway(on);
+    public void setDraining(boolean draining) {
+        sweeper.setDraining(draining);
     }
 
     /**
      * Nothing is being read or answered, and no client's connection is left: each was ended in two halves, as a request may come
      * on it until then.
      */
-    public boolean quiet() {
-        return !writer.isWriting() && connections.isQuiet();
+    public boolean isDrained() {
+        return !writer.isWriting() && connections.hasOnlyIdleCallbackConnections();
     }
 
     /** Open connections. */
-    public int size() {
+    public int connectionCount() {
         return connections.size();
     }
 
     /** Passes connections' events to the parts that they concern. */
-    private final class ConnectionEvents implements RequestFilter.Listener {
+    private final class ConnectionListener implements RequestFilter.Listener {
         @Override
-        public void opened(IngressConnection c) {
-            connections.opened(c);
-            door.accepted();
+        public void opened(InboundConnection c) {
+            connections.add(c);
+            acceptor.connectionAccepted();
         }
 
         @Override
-        public void received(IngressConnection c, byte[] bytes, int from, int to) {
+        public void received(InboundConnection c, byte[] bytes, int from, int to) {
             reader.read(c, bytes, from, to);
         }
 
         @Override
-        public void closed(IngressConnection c) {
-            c.enter(Phase.CLOSED);
-            connections.closed(c);
-            admission.closed(c);
-            queue.closed(c);
-            input.setUnparsed(c, null);
-            input.discard(c, 0);
-            if (c.lingerLimit != null) {
-                c.lingerLimit.cancel();
+        public void closed(InboundConnection c) {
+            c.advanceTo(Phase.CLOSED);
+            connections.remove(c);
+            admission.connectionClosed(c);
+            requestQueue.discardPending(c);
+            readControl.setUnparsedInput(c, null);
+            readControl.discardInput(c, 0);
+            if (c.lingerTimer != null) {
+                c.lingerTimer.cancel();
             }
             if (c.onDisconnect != null) {
                 Runnable action = c.onDisconnect;
--- a/node/src/main/java/hookweir/net/server/IngressConnection.java
+++ b/node/src/main/java/hookweir/net/server/InboundConnection.java
@@ -6,7 +6,7 @@
 import org.glassfish.grizzly.Connection;
 
 /** One accepted connection. Belongs to the loop's thread. */
-public final class IngressConnection {
+public final class InboundConnection {
     /** How far its life has come; it only ever goes on. */
     enum Phase {
         /** Requests are read and answered. */
@@ -22,32 +22,32 @@
     }
 
     /** The cost of one that is in use. */
-    static final int NEEDED = 8;
+    static final int COST_IN_USE = 8;
     /** The cost of one whose first request may be on the way, and of one on which a request is being written. */
-    static final int YOUNG = 6;
-    private static final int WRITES = 7;
+    static final int COST_REQUEST_EXPECTED = 6;
+    private static final int COST_RECEIVING = 7;
     /** A good client begins its first request sooner than this after connecting... */
-    static final long DUE_US = 400_000;
-    private static final long RECENT_US = 1_000_000;
+    static final long FIRST_REQUEST_DUE_US = 400_000;
+    private static final long RECENT_USE_US = 1_000_000;
     /** ...and has written any request by this. */
-    private static final long WRITTEN_US = 2_200_000;
+    private static final long REQUEST_TRANSFER_US = 2_200_000;
 
-    final Connection<?> connection;
+    final Connection<?> transportConnection;
     final long openedUs;
     /** The request being answered, or null. */
-    IngressRequest current;
+    InboundRequest currentRequest;
     /** Requests that a client sent ahead of its answers. */
-    final Deque<IngressRequest> pipelined = new ArrayDeque<>();
+    final Deque<InboundRequest> pipelined = new ArrayDeque<>();
     /** Runs if the client disconnects before its answer. */
     Runnable onDisconnect;
     long lastUsedUs;
     /** It brought a whole request once. */
-    boolean proven;
+    boolean requestReceived;
     boolean carriesCallbacks;
     boolean carriesJobs;
     private Phase phase = Phase.OPEN;
     /** Bad requests in a row. */
-    int badRequests;
+    int consecutiveBadRequests;
     /** No request is parsed for a while, as there were too many bad ones. */
     boolean throttled;
     /** Reading is off, as the connection is throttled or a body waits for room. */
@@ -55,17 +55,17 @@
     /** The status that ends the connection after the pending answers, as further input can't be parsed; or 0. */
     int errorStatus;
 
-    final Framing framing = new Framing();
+    final RequestDecoder decoder = new RequestDecoder();
     /** When the request that was read in part began; 0 between requests. */
-    long partialSinceUs;
+    long partialRequestSinceUs;
     /** Room reserved for the body that is being read. */
     int reservedBytes;
     /** The body being read is that of a worker's call-back. */
-    boolean callback;
+    boolean receivingCallback;
     /** Since when a body waits for room; 0 while none does. */
-    long waitingSinceUs;
+    long budgetWaitSinceUs;
     /** Input that was read and can't be parsed yet, or null. */
-    byte[] unparsed;
+    byte[] unparsedInput;
     /** Bytes of responses that the client has not taken. */
     int unwrittenBytes;
     /** Since when the client has taken none of them; 0 where there are none. */
@@ -75,21 +75,21 @@
     /** Reading is off for a while, as too much was discarded. */
     boolean discardPaused;
     /** The time limit of a lingering close. */
-    TimerWheel.Timer lingerLimit;
+    TimerWheel.Timer lingerTimer;
 
-    IngressConnection(Connection<?> connection, long openedUs) {
-        this.connection = connection;
+    InboundConnection(Connection<?> connection, long openedUs) {
+        this.transportConnection = connection;
         this.openedUs = openedUs;
         this.lastUsedUs = openedUs;
     }
 
     /** The address that it came from, for the log. */
-    String peer() {
-        return String.valueOf(connection.getPeerAddress());
+    String peerAddress() {
+        return String.valueOf(transportConnection.getPeerAddress());
     }
 
     /** Goes on to a later phase; false where it is there already, or further. */
-    boolean enter(Phase next) {
+    boolean advanceTo(Phase next) {
         if (next.compareTo(phase) <= 0) {
             return false;
         }
@@ -98,7 +98,7 @@
     }
 
     /** It can take no further answer. */
-    boolean closing() {
+    boolean isClosing() {
         return phase.compareTo(Phase.FINAL_RESPONSE) >= 0;
     }
 
@@ -108,56 +108,56 @@
     }
 
     /** Its output is shut, or it is gone. */
-    boolean ended() {
+    boolean isOutputShut() {
         return phase.compareTo(Phase.LINGERING) >= 0;
     }
 
     /**
-     * What its end would cost, {@link #NEEDED} at most. A client whose kept connection ends opens another, so that costs
+     * What its end would cost, {@link #COST_IN_USE} at most. A client whose kept connection ends opens another, so that costs
      * less than a young one: a new connection for each job is what some good clients use, and some write it for 2 s.
      */
-    int cost(long now) {
-        if (ended() || closing() && unwrittenSinceUs != 0 && now - unwrittenSinceUs > RECENT_US) {
+    int evictionCost(long now) {
+        if (isOutputShut() || isClosing() && unwrittenSinceUs != 0 && now - unwrittenSinceUs > RECENT_USE_US) {
             return 0; // it had its last response, or does not take it
-        } else if (closing()) {
-            return NEEDED;
-        } else if (!idle()) {
-            return NEEDED;
-        } else if (waitingSinceUs != 0) {
-            return NEEDED; // it is not its client that is slow
-        } else if (partialSinceUs != 0) {
-            return now - partialSinceUs > WRITTEN_US ? 3 : WRITES;
-        } else if (!proven) {
-            return now - openedUs > DUE_US ? 1 : YOUNG;
+        } else if (isClosing()) {
+            return COST_IN_USE;
+        } else if (!isIdle()) {
+            return COST_IN_USE;
+        } else if (budgetWaitSinceUs != 0) {
+            return COST_IN_USE; // it is not its client that is slow
+        } else if (partialRequestSinceUs != 0) {
+            return now - partialRequestSinceUs > REQUEST_TRANSFER_US ? 3 : COST_RECEIVING;
+        } else if (!requestReceived) {
+            return now - openedUs > FIRST_REQUEST_DUE_US ? 1 : COST_REQUEST_EXPECTED;
         }
-        if ((carriesCallbacks || carriesJobs) && now - lastUsedUs < RECENT_US) {
-            return YOUNG; // its next request may be on the way already
+        if ((carriesCallbacks || carriesJobs) && now - lastUsedUs < RECENT_USE_US) {
+            return COST_REQUEST_EXPECTED; // its next request may be on the way already
         }
         return carriesCallbacks ? 5 : carriesJobs ? 4 : 2;
     }
 
     /** A client's kept connection between requests: it may be closed and nothing is lost. */
-    boolean resting() {
-        return isQuiet() && proven && !carriesCallbacks;
+    boolean isIdleKeepAlive() {
+        return isInactive() && requestReceived && !carriesCallbacks;
     }
 
     /** It may be ended now for the scheduler's own sake: it rests, or its first request is overdue. */
-    boolean mayLeave(long now) {
-        return resting() || isQuiet() && !proven && now - openedUs > DUE_US;
+    boolean mayClose(long now) {
+        return isIdleKeepAlive() || isInactive() && !requestReceived && now - openedUs > FIRST_REQUEST_DUE_US;
     }
 
     /** Nothing comes in on it, or waits, or is answered, and its end is not yet under way. */
-    boolean isQuiet() {
-        return idle() && partialSinceUs == 0 && unparsed == null && !ignoresInput();
+    boolean isInactive() {
+        return isIdle() && partialRequestSinceUs == 0 && unparsedInput == null && !ignoresInput();
     }
 
     /** Behind the request being answered there is none that was read. */
-    boolean nothingAhead() {
-        return pipelined.isEmpty() && unparsed == null;
+    boolean hasNoPipelinedInput() {
+        return pipelined.isEmpty() && unparsedInput == null;
     }
 
     /** It waits for a request. */
-    boolean idle() {
-        return current == null && pipelined.isEmpty();
+    boolean isIdle() {
+        return currentRequest == null && pipelined.isEmpty();
     }
 }
--- a/node/src/main/java/hookweir/net/server/RequestFilter.java
+++ b/node/src/main/java/hookweir/net/server/RequestFilter.java
@@ -18,16 +18,16 @@
     /** Receives the events of accepted connections. */
     interface Listener {
         /** A connection was accepted. */
-        void opened(IngressConnection connection);
+        void opened(InboundConnection connection);
 
         /** Bytes were received. The array is reused once this returns. */
-        void received(IngressConnection connection, byte[] bytes, int from, int to);
+        void received(InboundConnection connection, byte[] bytes, int from, int to);
 
         /** A connection was closed by either side. */
-        void closed(IngressConnection connection);
+        void closed(InboundConnection connection);
     }
 
-    private static final Attribute<IngressConnection> INGRESS_CONNECTION =
+    private static final Attribute<InboundConnection> CONNECTION_ATTRIBUTE =
         Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.ingress");
 
     private final Loop loop;
@@ -43,8 +43,8 @@
     @Override
     public NextAction handleAccept(FilterChainContext context) {
         Connection<?> accepted = context.getConnection();
-        IngressConnection connection = new IngressConnection(accepted, loop.nowUs());
-        INGRESS_CONNECTION.set(accepted, connection);
+        InboundConnection connection = new InboundConnection(accepted, loop.nowUs());
+        CONNECTION_ATTRIBUTE.set(accepted, connection);
         accepted.addCloseListener((CloseListener<Closeable, CloseType>) (closeable, type) -> loop.post(() -> listener.closed(connection)));
         listener.opened(connection);
         return context.getInvokeAction();
@@ -52,7 +52,7 @@
 
     @Override
     public NextAction handleRead(FilterChainContext context) {
-        IngressConnection connection = INGRESS_CONNECTION.get(context.getConnection());
+        InboundConnection connection = CONNECTION_ATTRIBUTE.get(context.getConnection());
         Buffer buffer = context.getMessage();
         int length = buffer.remaining();
         byte[] bytes = transport.copyReceived(buffer);
--- a/node/src/main/java/hookweir/net/server/RequestHandler.java
+++ b/node/src/main/java/hookweir/net/server/RequestHandler.java
@@ -1,9 +1,9 @@
 package hookweir.net.server;
 
-/** Handles whole requests, on the loop. Each request is to be answered once by {@link Ingress#answer}. */
+/** Handles whole requests, on the loop. Each request is to be answered once by {@link HttpServer#respond}. */
 public interface RequestHandler {
-    /** Handles a request. Its body counts as held until {@link Ingress#release}. */
-    void request(IngressConnection from, IngressRequest request);
+    /** Handles a request. Its body counts as held until {@link HttpServer#releaseBody}. */
+    void handle(InboundConnection from, InboundRequest request);
 
     /** Whether a request for this path submits a job. */
     boolean isJob(String path);
@@ -12,7 +12,7 @@
     int classNumber(String className);
 
     /** Called when a job of the named class is rejected for lack of room before its body was read. */
-    void rejected(String className);
+    void jobRejected(String className);
 
     /** The value of the Retry-After header for rejected jobs, or null. */
     String retryAfter();
--- a/node/src/main/java/hookweir/net/server/RequestParser.java
+++ b/node/src/main/java/hookweir/net/server/RequestParser.java
@@ -5,89 +5,101 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes the module's request of a client's headers. */
+/** Converts a client's headers to a request of the scheduling module. */
 public final class RequestParser {
-    private static final long MOST_DEADLINE_MS = 24 * 3_600_000L;
-    private static final int MOST_HEX_DIGITS = 16;
-    private static final int MOST_DEADLINE_DIGITS = 9;
-    private static final int MOST_ID_CHARS = 128;
-    /** The tenant of a request that names none of those in the settings. */
-    public static final int NOBODY = -1;
+    private static final long MAX_DEADLINE_MS = 24 * 3_600_000L;
+    private static final int MAX_HEX_KEY_DIGITS = 16;
+    private static final int MAX_DEADLINE_DIGITS = 9;
+    private static final int MAX_ID_CHARS = 128;
+    /** The tenant of a request whose owner is missing or unknown. */
+    public static final int NO_TENANT = -1;
 
-    private final Map<String, Integer> classes;
+    private final Map<String, Integer> classNumberByName;
     private final List<Contract.RequestClass> classList;
-    private final Map<String, Integer> tenants;
+    private final Map<String, Integer> tenantNumberByName;
 
-    /** Headers that make no request; the message says which. */
-    public static final class BadRequest extends Exception {
+    /** Thrown for invalid headers; the message names the header. */
+    public static final class BadRequestException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadRequest(String what) {
-            super(what, null, false, false);
+        BadRequestException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    /** Knows the classes of these numbers, of the classes in that list, and the tenants of these; none where requests have no owner. */
+    /**
+     * Creates a parser.
+     *
+     * @param classNumbers the numbers of the request classes, by their wire names
+     * @param classList the request classes, by number
+     * @param tenantNumbers the numbers of the tenants, by their wire names; empty if requests have no owner
+     */
     public RequestParser(Map<String, Integer> classNumbers, List<Contract.RequestClass> classList, Map<String, Integer> tenantNumbers) {
-        tenants = tenantNumbers;
-        classes = classNumbers;
+        tenantNumberByName = tenantNumbers;
+        classNumberByName = classNumbers;
         this.classList = classList;
     }
 
-    /** The request, numbered and with times of this clock. */
-    public Contract.Request parse(IngressRequest.Headers h, String path, int id, long nowUs) throws BadRequest {
-        Contract.Request r = new Contract.Request();
-        r.id = id;
-        if (h.id() == null || h.id().isEmpty() || h.id().length() > MOST_ID_CHARS || !isId(h.id())) {
-            throw new BadRequest("Req-Id is missing or malformed");
+    /** Parses a request with this internal number; its deadline is computed from the current time nowUs. */
+    public Contract.Request parse(InboundRequest.Headers headers, String path, int id, long nowUs) throws BadRequestException {
+        Contract.Request request = new Contract.Request();
+        request.id = id;
+        if (headers.id() == null || headers.id().isEmpty() || headers.id().length() > MAX_ID_CHARS || !isId(headers.id())) {
+            throw new BadRequestException("Req-Id is missing or malformed");
         }
-        int number = numberOf(h.kind());
-        if (number < 0) {
-            throw new BadRequest("Req-Kind is missing or unknown");
+        int classNumber = classNumber(headers.kind());
+        if (classNumber < 0) {
+            throw new BadRequestException("Req-Kind is missing or unknown");
         }
-        r.requestClass = number;
-        // A client that names no deadline waits as long as its class does.
-        long waitUs = h.deadlineMs() == null ? classList.get(number).deadlineUs
-            : 1000 * millis(h.deadlineMs());
-        r.deadlineAtUs = nowUs + waitUs;
-        r.costHintUs = h.cost() == null ? 0 : whole("Req-Cost", h.cost(), Integer.MAX_VALUE * 2L);
-        r.clientRetry = "1".equals(h.retry());
-        r.key = key(path);
-        r.tenant = tenantOf(h.owner());
-        if (h.extra() != null && !h.extra().isEmpty()) {
-            extras(r, h.extra());
+        request.requestClass = classNumber;
+        // Without a Req-Deadline-Ms header the deadline of the class applies.
+        long timeoutUs = headers.deadlineMs() == null ? classList.get(classNumber).deadlineUs
+            : 1000 * parseDeadlineMs(headers.deadlineMs());
+        request.deadlineAtUs = nowUs + timeoutUs;
+        request.costHintUs = headers.cost() == null ? 0 : parseWholeNumber("Req-Cost", headers.cost(), Integer.MAX_VALUE * 2L);
+        request.clientRetry = "1".equals(headers.retry());
+        request.key = parseKey(path);
+        request.tenant = tenantNumber(headers.owner());
+        if (headers.extra() != null && !headers.extra().isEmpty()) {
+            parseExtras(request, headers.extra());
         }
-        return r;
+        return request;
     }
 
-    /** The number of a class as clients name it, or -1. */
-    public int numberOf(String kind) {
-        Integer number = kind == null ? null : classes.get(ConfigReader.toWireToken(kind));
+    /** The number of the class with this name as clients send it, or -1. */
+    public int classNumber(String className) {
+        Integer number = className == null ? null : classNumberByName.get(ConfigReader.toWireToken(className));
         return number == null ? -1 : number;
     }
 
-    /** Where requests have owners, one without a known owner has no share in the fleet: nobody's, but a job all the same. */
-    private int tenantOf(String owner) {
-        return tenants.isEmpty() ? 0 : owner == null ? NOBODY : tenants.getOrDefault(ConfigReader.toWireToken(owner), NOBODY);
+    /**
+     * The number of the owner's tenant. Where tenants are configured, a request without a known owner is accepted too, but
+     * belongs to no tenant and has no share in the capacity.
+     */
+    private int tenantNumber(String owner) {
+        return tenantNumberByName.isEmpty() ? 0 : owner == null ? NO_TENANT : tenantNumberByName.getOrDefault(ConfigReader.toWireToken(owner), NO_TENANT);
     }
 
-    private static void extras(Contract.Request r, String text) throws BadRequest {
+    private static void parseExtras(Contract.Request request, String text) throws BadRequestException {
         for (String pair : text.split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq <= 0) {
-                throw new BadRequest("Req-Extra must hold name=value pairs");
+            int separator = pair.indexOf('=');
+            if (separator <= 0) {
+                throw new BadRequestException("Req-Extra must hold name=value pairs");
             }
-            double value = number("Req-Extra", pair.substring(eq + 1).strip());
-            switch (pair.substring(0, eq).strip()) {
-                case "width", "slots" -> r.slots = value;
-                case "ram_units", "memory" -> r.memory = value;
+            double value = parseNumber("Req-Extra", pair.substring(separator + 1).strip());
+            switch (pair.substring(0, separator).strip()) {
+                case "width", "slots" -> request.slots = value;
+                case "ram_units", "memory" -> request.memory = value;
                 default -> { }
             }
         }
     }
 
-    /** What the request is about: the path's last part; 0 where it has just the one that all share. */
-    private static long key(String path) {
+    /**
+     * The key of the object that the request is about, from the last segment of the path: its value if it is a short
+     * hexadecimal number, otherwise a hash. 0 if the path has only one segment, as that is the same for all requests.
+     */
+    private static long parseKey(String path) {
         int slash = path.lastIndexOf('/');
         String last = path.substring(slash + 1);
         if (slash <= 0 || last.isEmpty()) {
@@ -95,7 +107,7 @@
         }
         long value = 0;
         long hash = 1125899906842597L;
-        boolean hex = last.length() <= MOST_HEX_DIGITS;
+        boolean hex = last.length() <= MAX_HEX_KEY_DIGITS;
         for (int i = 0; i < last.length(); i++) {
             int digit = Character.digit(last.charAt(i), 16);
             hex &= digit >= 0;
@@ -105,15 +117,15 @@
         return hex ? value : hash;
     }
 
-    /** Plain digits only: a deadline that is guessed at is somebody else's. */
-    private static long millis(String text) throws BadRequest {
-        long ms = text.isEmpty() || text.length() > MOST_DEADLINE_DIGITS ? -1 : 0;
+    /** Accepts plain digits only: guessing at a malformed deadline could apply a wrong one. */
+    private static long parseDeadlineMs(String text) throws BadRequestException {
+        long ms = text.isEmpty() || text.length() > MAX_DEADLINE_DIGITS ? -1 : 0;
         for (int i = 0; i < text.length() && ms >= 0; i++) {
             char c = text.charAt(i);
             ms = c >= '0' && c <= '9' ? 10 * ms + c - '0' : -1;
         }
-        if (ms < 0 || ms > MOST_DEADLINE_MS) {
-            throw new BadRequest("Req-Deadline-Ms is not a whole number of milliseconds up to a day");
+        if (ms < 0 || ms > MAX_DEADLINE_MS) {
+            throw new BadRequestException("Req-Deadline-Ms is not a whole number of milliseconds up to a day");
         }
         return ms;
     }
@@ -128,23 +140,23 @@
         return true;
     }
 
-    private static long whole(String header, String text, long most) throws BadRequest {
-        double v = number(header, text.strip());
-        if (v < 0 || v > most) {
-            throw new BadRequest(header + " is out of range");
+    private static long parseWholeNumber(String header, String text, long max) throws BadRequestException {
+        double value = parseNumber(header, text.strip());
+        if (value < 0 || value > max) {
+            throw new BadRequestException(header + " is out of range");
         }
-        return (long) v;
+        return (long) value;
     }
 
-    private static double number(String header, String text) throws BadRequest {
+    private static double parseNumber(String header, String text) throws BadRequestException {
         try {
-            double v = Double.parseDouble(text);
-            if (Double.isFinite(v)) {
-                return v;
+            double value = Double.parseDouble(text);
+            if (Double.isFinite(value)) {
+                return value;
             }
         } catch (NumberFormatException e) {
-            // falls through to the plain message
+            // falls through to the exception below
         }
-        throw new BadRequest(header + " is not a number");
+        throw new BadRequestException(header + " is not a number");
     }
 }
--- a/node/src/main/java/hookweir/net/server/RequestQueue.java
+++ b/node/src/main/java/hookweir/net/server/RequestQueue.java
@@ -16,22 +16,22 @@
     private final Invariants invariants;
     private final RequestHandler handler;
     private final BodyReservations reservations;
-    private final InputControl input;
+    private final ReadControl input;
     private final BodyAdmission admission;
     private final ConnectionTable connections;
-    private final ConnectionSweep sweep;
+    private final ConnectionSweeper sweep;
     private final ConnectionCloser closer;
     private final ResponseWriter writer;
-    private final Consumer<IngressConnection> readBuffered;
+    private final Consumer<InboundConnection> readBuffered;
 
     /**
      * Queues for this handler.
      *
      * @param readBuffered parses a connection's buffered input once nothing blocks it any more
      */
-    RequestQueue(Loop loop, Invariants invariants, RequestHandler handler, BodyReservations reservations, InputControl input,
-            BodyAdmission admission, ConnectionTable connections, ConnectionSweep sweep, ConnectionCloser closer, ResponseWriter writer,
-            Consumer<IngressConnection> readBuffered) {
+    RequestQueue(Loop loop, Invariants invariants, RequestHandler handler, BodyReservations reservations, ReadControl input,
+            BodyAdmission admission, ConnectionTable connections, ConnectionSweeper sweep, ConnectionCloser closer, ResponseWriter writer,
+            Consumer<InboundConnection> readBuffered) {
         this.loop = loop;
         this.invariants = invariants;
         this.handler = handler;
@@ -46,8 +46,8 @@
     }
 
     /** A whole request was read: it is handled now, or after those before it. */
-    void arrived(IngressConnection c, IngressRequest request) {
-        if (c.closing()) {
+    void enqueue(InboundConnection c, InboundRequest request) {
+        if (c.isClosing()) {
             reservations.release(request);
             return;
         }
@@ -57,59 +57,59 @@
             return;
         }
         c.lastUsedUs = loop.nowUs();
-        c.proven = true;
-        if (c.current != null) {
+        c.requestReceived = true;
+        if (c.currentRequest != null) {
             c.pipelined.add(request);
             return;
         }
         handle(c, request);
     }
 
-    private void handle(IngressConnection c, IngressRequest request) {
-        c.current = request;
-        connections.used(c);
-        handler.request(c, request);
+    private void handle(InboundConnection c, InboundRequest request) {
+        c.currentRequest = request;
+        connections.markUsed(c);
+        handler.handle(c, request);
     }
 
     /** Answers the request under way; retryAfter may be null. */
-    void answer(IngressConnection c, int status, String retryAfter, byte[] body) {
-        IngressRequest request = c.current;
+    void respond(InboundConnection c, int status, String retryAfter, byte[] body) {
+        InboundRequest request = c.currentRequest;
         if (!invariants.check(request != null, "answer without a request")) {
             return;
         }
         c.onDisconnect = null;
-        if (c.closing()) {
+        if (c.isClosing()) {
             return;
         }
         countBadRequests(c, status);
-        boolean last = isLastAnswer(c, request);
+        boolean last = isFinalResponse(c, request);
         MessageBuilder head = writer.head(status, body.length, retryAfter);
         if (last) {
             closer.beginFinalResponse(c);
             head.header("Connection", "close");
-        } else if (request.oldVersion()) {
+        } else if (request.http10()) {
             head.header("Connection", "keep-alive");
         }
-        writer.write(c, head, body, () -> answered(c, last));
+        writer.write(c, head, body, () -> responseWritten(c, last));
     }
 
     /**
      * Whether the connection ends with this answer. While new connections wait in the kernel, workers' connections take turns:
      * the call-backs among those that wait end jobs. Requests that a client sent ahead were accepted, and are answered first.
      */
-    private boolean isLastAnswer(IngressConnection c, IngressRequest request) {
-        return !request.keepAlive() || (c.carriesCallbacks ? connections.isFull() : sweep.isSendingAway() && c.nothingAhead());
+    private boolean isFinalResponse(InboundConnection c, InboundRequest request) {
+        return !request.keepAlive() || (c.carriesCallbacks ? connections.isDescriptorLimitReached() : sweep.isDraining() && c.hasNoPipelinedInput());
     }
 
-    private void countBadRequests(IngressConnection c, int status) {
+    private void countBadRequests(InboundConnection c, int status) {
         boolean bad = status >= HttpStatus.BAD_REQUEST && status != HttpStatus.TOO_MANY_REQUESTS && status < HttpStatus.INTERNAL_SERVER_ERROR;
-        c.badRequests = bad ? c.badRequests + 1 : 0;
-        if (c.badRequests > MAX_BAD_REQUESTS && !c.throttled) {
+        c.consecutiveBadRequests = bad ? c.consecutiveBadRequests + 1 : 0;
+        if (c.consecutiveBadRequests > MAX_BAD_REQUESTS && !c.throttled) {
             throttle(c);
         }
     }
 
-    private void throttle(IngressConnection c) {
+    private void throttle(InboundConnection c) {
         c.throttled = true;
         input.updateReading(c);
         loop.schedule(THROTTLE_US, () -> {
@@ -119,21 +119,21 @@
         });
     }
 
-    private void answered(IngressConnection c, boolean last) {
-        c.current = null;
+    private void responseWritten(InboundConnection c, boolean last) {
+        c.currentRequest = null;
         c.lastUsedUs = loop.nowUs();
         if (last) {
             closer.close(c, CloseReason.LAST_ANSWER);
         } else if (!c.pipelined.isEmpty()) {
             handle(c, c.pipelined.poll());
             readBuffered.accept(c);
-        } else if (c.errorStatus != 0 && !c.closing()) {
+        } else if (c.errorStatus != 0 && !c.isClosing()) {
             closer.closeWithError(c);
         }
     }
 
     /** Drops the requests of a closed connection that were not handled yet. */
-    void closed(IngressConnection c) {
+    void discardPending(InboundConnection c) {
         c.pipelined.forEach(reservations::release);
         c.pipelined.clear();
     }
--- a/node/src/main/java/hookweir/net/server/ResponseWriter.java
+++ b/node/src/main/java/hookweir/net/server/ResponseWriter.java
@@ -42,16 +42,16 @@
     }
 
     /** Ends the head and writes the response; the task runs, in the loop's next turn, once the client has taken it. */
-    void write(IngressConnection c, MessageBuilder head, byte[] body, Runnable onWritten) {
+    void write(InboundConnection c, MessageBuilder head, byte[] body, Runnable onWritten) {
         write(c, transport.pooledCopy(head.endLine(), body), onWritten);
     }
 
     /** Asks the client to send the body that it announced. */
-    void writeContinue(IngressConnection c) {
+    void writeContinue(InboundConnection c) {
         write(c, transport.pooledCopy(CONTINUE), () -> { });
     }
 
-    private void write(IngressConnection c, Buffer message, Runnable onWritten) {
+    private void write(InboundConnection c, Buffer message, Runnable onWritten) {
         int bytes = message.remaining();
         room.addOutput(bytes);
         pendingWrites++;
@@ -60,25 +60,25 @@
         }
         c.unwrittenBytes += bytes;
         @SuppressWarnings("unchecked")
-        Connection<SocketAddress> out = (Connection<SocketAddress>) c.connection;
+        Connection<SocketAddress> out = (Connection<SocketAddress>) c.transportConnection;
         out.write(message, new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
             @Override
             public void completed(WriteResult<Buffer, SocketAddress> result) {
                 loop.post(() -> {
-                    ended(c, bytes);
+                    writeEnded(c, bytes);
                     onWritten.run();
                 });
             }
 
             @Override
             public void failed(Throwable t) {
-                c.connection.closeSilently();
-                loop.post(() -> ended(c, bytes));
+                c.transportConnection.closeSilently();
+                loop.post(() -> writeEnded(c, bytes));
             }
         });
     }
 
-    private void ended(IngressConnection c, int bytes) {
+    private void writeEnded(InboundConnection c, int bytes) {
         pendingWrites--;
         room.releaseOutput(bytes);
         c.unwrittenBytes -= bytes;
--- a/node/src/test/java/hookweir/net/FramingTest.java
+++ b/node/src/test/java/hookweir/net/FramingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hookweir.net.server.Framing;
+import hookweir.net.server.RequestDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -22,7 +22,7 @@
     private static final String BARE = "GET /healthz HTTP/1.0\r\n\r\n";
 
     /** Messages that ended in these bytes, fed in pieces; a fault as its negative. */
-    private static int read(Framing f, byte[] bytes, List<Integer> lengths) {
+    private static int read(RequestDecoder f, byte[] bytes, List<Integer> lengths) {
         int messages = 0;
         for (int from = 0, i = 0; from < bytes.length; i++) {
             int to = i < lengths.size() ? Math.min(bytes.length, from + lengths.get(i)) : bytes.length;
@@ -38,22 +38,22 @@
     }
 
     /** As the ingress does where there is always room. */
-    private static int feed(Framing f, byte[] bytes, int from, int to) {
+    private static int feed(RequestDecoder f, byte[] bytes, int from, int to) {
         int end = f.feed(bytes, from, to);
-        while (f.announced() > 0 && f.fault() == 0) {
-            f.admit();
+        while (f.announcedBodyBytes() > 0 && f.fault() == 0) {
+            f.admitBody();
             end = f.feed(bytes, end, to);
         }
         return end;
     }
 
     private static int read(String head) {
-        return read(new Framing(), head.getBytes(StandardCharsets.ISO_8859_1), List.of());
+        return read(new RequestDecoder(), head.getBytes(StandardCharsets.ISO_8859_1), List.of());
     }
 
     @Property(seed = "21", tries = 300)
     void messagesEndWhereTheyEndHoweverCut(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> lengths) {
-        Framing f = new Framing();
+        RequestDecoder f = new RequestDecoder();
         assertEquals(4, read(f, (PLAIN + CHUNKED + BARE + PLAIN).getBytes(StandardCharsets.US_ASCII), lengths));
         assertFalse(f.isMidMessage());
     }
@@ -65,7 +65,7 @@
         for (int n : noise) {
             bytes[(n >>> 8) % bytes.length] = (byte) n;
         }
-        assertTrue(read(new Framing(), bytes, lengths) <= 2);
+        assertTrue(read(new RequestDecoder(), bytes, lengths) <= 2);
     }
 
     /** Each of these was let through, or left waiting, by the codec alone. */
--- a/node/src/test/java/hookweir/net/OperatorsTest.java
+++ b/node/src/test/java/hookweir/net/OperatorsTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hookweir.config.ConfigReader;
-import hookweir.net.admin.AdminListener;
+import hookweir.net.admin.AdminServer;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
     void silentCallersHoldUpNobody() throws Exception {
         List<Socket> crowd = new ArrayList<>();
         try (TestNode n = new TestNode("read_like")) {
-            for (int i = 0; i < 2 * AdminListener.MOST_CONNECTIONS; i++) {
+            for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
                 crowd.add(n.admin());
                 if (i % 2 == 0) {
                     say(crowd.get(i), "GET /admin/he");
--- a/node/src/test/java/hookweir/net/ParsersTest.java
+++ b/node/src/test/java/hookweir/net/ParsersTest.java
@@ -12,7 +12,7 @@
 import hookweir.net.discovery.Lines;
 import hookweir.net.discovery.ListUpdate;
 import hookweir.net.server.Callback;
-import hookweir.net.server.IngressRequest;
+import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestParser;
 import hookweir.net.worker.LoadReport;
 import java.io.IOException;
@@ -104,16 +104,16 @@
     @Property(seed = "13", tries = 500)
     void headersMakeARequestOrAreRefused(@ForAll String id, @ForAll String number, @ForAll String extra) {
         try {
-            Contract.Request r = requests.parse(new IngressRequest.Headers(id, "render", number, "1", number, extra, null, null, null), "/api/" + id, 5, 1000);
+            Contract.Request r = requests.parse(new InboundRequest.Headers(id, "render", number, "1", number, extra, null, null, null), "/api/" + id, 5, 1000);
             assertTrue(r.deadlineAtUs >= 1000 && r.costHintUs >= 0 && Double.isFinite(r.slots));
-        } catch (RequestParser.BadRequest e) {
+        } catch (RequestParser.BadRequestException e) {
             assertNotNull(e.getMessage());
         }
     }
 
     @Property(seed = "14", tries = 300)
     void goodHeadersAreRead(@ForAll @IntRange(min = 0, max = 90_000) int ms, @ForAll long key) throws Exception {
-        Contract.Request r = requests.parse(new IngressRequest.Headers("a-1", "render", "" + ms, null, "7", "slots=2,x=1", null, null, null),
+        Contract.Request r = requests.parse(new InboundRequest.Headers("a-1", "render", "" + ms, null, "7", "slots=2,x=1", null, null, null),
             "/api/" + Long.toHexString(key), 5, 1000);
         assertEquals(1000 + ms * 1000L, r.deadlineAtUs);
         assertEquals(key, r.key);
@@ -126,14 +126,14 @@
         RequestParser shared = new RequestParser(Map.of("render", 0), List.of(new Contract.RequestClass()), Map.of("acme_east", 0, "b", 1));
         assertEquals(0, tenant(shared, "acme east"));
         assertEquals(1, tenant(shared, "b"));
-        assertEquals(RequestParser.NOBODY, tenant(shared, "c"));
-        assertEquals(RequestParser.NOBODY, tenant(shared, ""));
-        assertEquals(RequestParser.NOBODY, tenant(shared, null));
+        assertEquals(RequestParser.NO_TENANT, tenant(shared, "c"));
+        assertEquals(RequestParser.NO_TENANT, tenant(shared, ""));
+        assertEquals(RequestParser.NO_TENANT, tenant(shared, null));
         assertEquals(0, tenant(requests, "b"), "no tenants in the settings: whatever clients say");
     }
 
-    private static int tenant(RequestParser parser, String owner) throws RequestParser.BadRequest {
-        return parser.parse(new IngressRequest.Headers("a-1", "render", null, null, null, null, owner, null, null), "/api", 5, 1000).tenant;
+    private static int tenant(RequestParser parser, String owner) throws RequestParser.BadRequestException {
+        return parser.parse(new InboundRequest.Headers("a-1", "render", null, null, null, null, owner, null, null), "/api", 5, 1000).tenant;
     }
 
     @Property(seed = "15", tries = 300)
@@ -147,7 +147,7 @@
     @Property(seed = "16", tries = 500)
     void garbledCallbacksAndLoadsAreSurvived(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
         Callback told = Callback.parse(garbled("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
-        assertTrue(told == null || told.id() != null && told.from() != null && told.state() != null);
+        assertTrue(told == null || told.id() != null && told.workerId() != null && told.state() != null);
         for (String text : List.of("x0=2,utilization=0.61", "{\"x0\":2,\"utilization\":0.61}")) {
             assertEquals(0.61, loads.ofBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
             Contract.Report r = loads.ofBody(garbled(text, noise));
