--- a/node/src/main/java/hookweir/net/admin/AdminServer.java
+++ b/node/src/main/java/hookweir/net/admin/AdminServer.java
@@ -33,20 +33,26 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 
 /**
- * The operators' address: one call a connection, answered in a round of I/O, so that no answer waits for all that
- * the {@link Loop} has to do. Owns its connections, few and outside the clients' cap.
+ * The HTTP server for operators: one request per connection, answered within one I/O round, so that a response does not wait
+ * for queued work of the {@link Loop}. Its few connections are separate from the limit on client connections.
  */
 public final class AdminServer {
-    /** Connections at most: descriptors reserved for operators. A further one ends the oldest that has no answer yet. */
+    /**
+     * Maximum number of connections; their descriptors are reserved for operators. A further connection closes the oldest
+     * one.
+     */
     public static final int MAX_CONNECTIONS = 16;
     private static final Attribute<RequestDecoder> DECODER = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.admin");
-    /** It had its call: what follows is dropped. */
-    private static final Attribute<Boolean> RESPONDED = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.admin.had");
-    /** Silent and half callers are sent away after this; until then they hold up nobody but each other. */
+    /** Set once the connection had its request; further input is discarded. */
+    private static final Attribute<Boolean> RESPONDED = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.admin.responded");
+    /**
+     * How long a connection may stay open. Until then silent connections and incomplete requests block nobody but other
+     * operators.
+     */
     private static final long CONNECTION_TIMEOUT_US = 8_000_000;
     private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-    /** What a path answers to: its one method, and what makes the answer. */
+    /** What a path serves: its only method and the handler that creates the response. */
     private record Endpoint(String method, Supplier<Response> handler) {
     }
 
@@ -57,13 +63,13 @@
     private final Transport transport;
     private final Invariants invariants;
     private final Map<String, Endpoint> endpoints;
-    /** Oldest first. Guarded by itself: connections are closed on the selector and on the loop. */
+    /** Oldest first. Guarded by itself, as connections are closed on the selector and on the loop. */
     private final Deque<Connection<?>> openConnections = new ArrayDeque<>();
 
     /**
-     * Answers for this standing and with these figures.
+     * Creates a server for this serving state and these metrics.
      *
-     * @param onQuiesceChanged runs, on any thread, after the clients were sent away or called back
+     * @param onQuiesceChanged runs after each quiesce or resume request, on any thread
      */
     public AdminServer(Loop loop, Transport transport, Invariants invariants, ServingState servingState, Metrics metrics, Runnable onQuiesceChanged) {
         this.loop = loop;
@@ -76,21 +82,21 @@
             "/admin/resume", new Endpoint("PUT", () -> setQuiesced(servingState, false, onQuiesceChanged)));
     }
 
-    /** What /healthz reads is turned before the yes; a call that changes nothing is a yes too. */
+    /** The state that /healthz reads is changed before the response is sent. A request that changes nothing succeeds too. */
     private static Response setQuiesced(ServingState servingState, boolean quiesced, Runnable onQuiesceChanged) {
         servingState.setQuiesced(quiesced);
         onQuiesceChanged.run();
         return new Response(200, quiesced ? "quiesced\n" : "resumed\n");
     }
 
-    /** Binds the address; the port that it got. */
+    /** Binds the address and returns the port. */
     public int listen(InetSocketAddress address) throws IOException {
         var bound = TCPNIOBindingHandler.builder(transport.tcp()).processor(FilterChainBuilder.stateless()
             .add(new TransportFilter()).add(new ConnectionLimitFilter()).add(new EndpointFilter()).build()).build().bind(address);
         return ((InetSocketAddress) bound.getLocalAddress()).getPort();
     }
 
-    /** Runs on the selector: keeps the connections few and ends those that say nothing. */
+    /** Runs on the selector: limits the number of connections and closes silent ones. */
     private final class ConnectionLimitFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) {
@@ -116,7 +122,10 @@
         }
     }
 
-    /** Runs on the selector: answers a call once it is whole, lest its rest reset the connection and its answer. */
+    /**
+     * Runs on the selector: responds only to complete requests, as unread input would reset the connection and lose the
+     * response.
+     */
     private final class EndpointFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
@@ -136,7 +145,7 @@
             for (int at = 0; at < length && decoder.fault() == 0;) {
                 at = decoder.feed(bytes, at, length);
                 if (decoder.announcedBodyBytes() > 0) {
-                    decoder.admitBody(); // a handful of connections, each with one call
+                    decoder.admitBody(); // without a reservation: there are few connections, with one request each
                 }
                 if (decoder.isComplete()) {
                     respond(connection, decoder.takeRequest());
--- a/node/src/main/java/hookweir/net/server/BodyAdmission.java
+++ b/node/src/main/java/hookweir/net/server/BodyAdmission.java
@@ -10,76 +10,83 @@
 import java.util.function.Consumer;
 
 /**
- * Decides whether a body may be read: reserves room for it, has its connection wait for room in order of arrival, or rejects
- * the request. Belongs to the loop.
+ * Decides whether a request body may be read: reserves memory for it, queues its connection until memory is available (first
+ * come, first served), or rejects the request. Belongs to the loop.
  */
 final class BodyAdmission {
 
     private final Loop loop;
     private final Invariants invariants;
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final RequestHandler handler;
-    private final ReadControl input;
+    private final ReadControl readControl;
     private final ConnectionCloser closer;
     private final ResponseWriter writer;
     private final ConnectionTable connections;
     private final Consumer<InboundConnection> readBuffered;
-    /** Connections whose body waits for room, in order of arrival. */
-    private final Set<InboundConnection> waiting = new LinkedHashSet<>();
+    /** Connections whose body waits for memory, in order of arrival. */
+    private final Set<InboundConnection> waitingConnections = new LinkedHashSet<>();
     private boolean retryPosted;
 
     /**
-     * Admission to this room.
+     * Creates an admission control for this memory budget.
      *
-     * @param readBuffered parses a connection's buffered input once its body was admitted
+     * @param readBuffered parses a connection's buffered input once its body is admitted
      */
-    BodyAdmission(Loop loop, Invariants invariants, ResourceBudget room, RequestHandler handler, ReadControl input, ConnectionCloser closer,
+    BodyAdmission(Loop loop, Invariants invariants, ResourceBudget budget, RequestHandler handler, ReadControl readControl, ConnectionCloser closer,
             ResponseWriter writer, ConnectionTable connections, Consumer<InboundConnection> readBuffered) {
         this.loop = loop;
         this.invariants = invariants;
-        this.room = room;
+        this.budget = budget;
         this.handler = handler;
-        this.input = input;
+        this.readControl = readControl;
         this.closer = closer;
         this.writer = writer;
         this.connections = connections;
         this.readBuffered = readBuffered;
     }
 
-    /** Reserves room for the announced body, or has the connection wait for it and returns false. True also where it was rejected. */
-    boolean admit(InboundConnection c) {
-        int bytes = c.decoder.announcedBodyBytes();
-        c.receivingCallback = BodyReservations.isCallback(c.decoder.path());
-        if (exceedsClientLimit(c, c.decoder.path())) {
-            reject(c, c.decoder.className());
+    /**
+     * Reserves memory for the announced body, or queues the connection for it and returns false. Also returns true if the
+     * request was rejected.
+     */
+    boolean admit(InboundConnection connection) {
+        int bytes = connection.decoder.announcedBodyBytes();
+        connection.receivingCallback = BodyReservations.isCallback(connection.decoder.path());
+        if (exceedsClientLimit(connection, connection.decoder.path())) {
+            reject(connection, connection.decoder.className());
             return true;
         }
-        ResourceBudget.Admission verdict = c.receivingCallback ? room.reserveResult(bytes) : room.reserveBody(handler.classNumber(c.decoder.className()), bytes);
-        if (verdict == ResourceBudget.Admission.ADMIT) {
-            c.reservedBytes = bytes;
-            c.decoder.admitBody();
-            if (c.decoder.takeExpectContinue()) {
-                writer.writeContinue(c);
+        ResourceBudget.Admission admission = connection.receivingCallback ? budget.reserveResult(bytes)
+            : budget.reserveBody(handler.classNumber(connection.decoder.className()), bytes);
+        if (admission == ResourceBudget.Admission.ADMIT) {
+            connection.reservedBytes = bytes;
+            connection.decoder.admitBody();
+            if (connection.decoder.takeExpectContinue()) {
+                writer.writeContinue(connection);
             }
             return true;
         }
-        if (c.budgetWaitSinceUs == 0) {
+        if (connection.budgetWaitSinceUs == 0) {
             invariants.count("ingress waits for room");
-            c.budgetWaitSinceUs = loop.nowUs();
-            waiting.add(c);
-            input.updateReading(c);
+            connection.budgetWaitSinceUs = loop.nowUs();
+            waitingConnections.add(connection);
+            readControl.updateReading(connection);
         }
         return false;
     }
 
-    /** Clients have all the connections they may, and none can be closed: the remaining ones are for workers' call-backs. */
-    boolean exceedsClientLimit(InboundConnection c, String path) {
-        return !c.carriesJobs && connections.isClientLimitReached() && handler.isJob(path) && !connections.evictIdleClient();
+    /**
+     * Whether clients hold all the connections they may and none of them can be closed. The remaining connections are for
+     * workers' callbacks.
+     */
+    boolean exceedsClientLimit(InboundConnection connection, String path) {
+        return !connection.carriesJobs && connections.isClientLimitReached() && handler.isJob(path) && !connections.evictIdleClient();
     }
 
-    /** Room was released: the connections that wait for it are tried again in the loop's next turn. */
+    /** Called when memory was released: retries the waiting connections in the loop's next turn. */
     void budgetReleased() {
-        if (!waiting.isEmpty() && !retryPosted) {
+        if (!waitingConnections.isEmpty() && !retryPosted) {
             retryPosted = true;
             loop.post(this::retryWaiting);
         }
@@ -87,38 +94,38 @@
 
     private void retryWaiting() {
         retryPosted = false;
-        for (InboundConnection c : new ArrayList<>(waiting)) {
-            if (!c.isClosing() && admit(c)) {
-                resume(c);
+        for (InboundConnection connection : new ArrayList<>(waitingConnections)) {
+            if (!connection.isClosing() && admit(connection)) {
+                resume(connection);
             }
         }
     }
 
-    private void resume(InboundConnection c) {
-        if (c.ignoresInput()) {
-            return; // it was rejected
+    private void resume(InboundConnection connection) {
+        if (connection.ignoresInput()) {
+            return; // the request was rejected
         }
-        waiting.remove(c);
-        c.budgetWaitSinceUs = 0;
-        c.partialRequestSinceUs = loop.nowUs(); // the client is not charged for the wait
-        readBuffered.accept(c);
-        input.updateReading(c);
+        waitingConnections.remove(connection);
+        connection.budgetWaitSinceUs = 0;
+        connection.partialRequestSinceUs = loop.nowUs(); // waiting for memory does not count towards the client's time limit
+        readBuffered.accept(connection);
+        readControl.updateReading(connection);
     }
 
-    /** Rejects the request being read for lack of room; the client is told after its pending answers. */
-    void reject(InboundConnection c, String className) {
-        waiting.remove(c);
-        c.budgetWaitSinceUs = 0;
-        input.setUnparsedInput(c, null);
+    /** Rejects the request being read for lack of memory. The client gets the error after its pending responses. */
+    void reject(InboundConnection connection, String className) {
+        waitingConnections.remove(connection);
+        connection.budgetWaitSinceUs = 0;
+        readControl.setUnparsedInput(connection, null);
         invariants.count("ingress turned away for room");
         handler.jobRejected(className);
-        input.discardInput(c, 0);
-        input.updateReading(c);
-        closer.closeWithErrorAfterPending(c, HttpStatus.TOO_MANY_REQUESTS);
+        readControl.discardInput(connection, 0);
+        readControl.updateReading(connection);
+        closer.closeWithErrorAfterPending(connection, HttpStatus.TOO_MANY_REQUESTS);
     }
 
-    /** Forgets a closed connection. */
-    void connectionClosed(InboundConnection c) {
-        waiting.remove(c);
+    /** Removes a closed connection from the queue. */
+    void connectionClosed(InboundConnection connection) {
+        waitingConnections.remove(connection);
     }
 }
--- a/node/src/main/java/hookweir/net/server/BodyReservations.java
+++ b/node/src/main/java/hookweir/net/server/BodyReservations.java
@@ -3,42 +3,42 @@
 import hookweir.net.Invariants;
 import hookweir.room.ResourceBudget;
 
-/** Gives room that was reserved for bodies back to the process's {@link ResourceBudget}. Belongs to the loop. */
+/** Returns memory that was reserved for request bodies to the process's {@link ResourceBudget}. Belongs to the loop. */
 final class BodyReservations {
     private static final String CALLBACK_PATH = "/callback";
 
     private final Invariants invariants;
-    private final ResourceBudget room;
+    private final ResourceBudget budget;
     private final Runnable onReleased;
 
     /**
-     * Reservations in this room.
+     * Creates reservations in this memory budget.
      *
      * @param onReleased runs after each release
      */
-    BodyReservations(Invariants invariants, ResourceBudget room, Runnable onReleased) {
+    BodyReservations(Invariants invariants, ResourceBudget budget, Runnable onReleased) {
         this.invariants = invariants;
-        this.room = room;
+        this.budget = budget;
         this.onReleased = onReleased;
     }
 
-    /** Whether requests for this path are workers' call-backs, whose bodies count as results. */
+    /** Whether requests for this path are workers' callbacks, whose bodies count as results. */
     static boolean isCallback(String path) {
         return path.equals(CALLBACK_PATH);
     }
 
-    /** Ends the reservation of the message being read: its body takes so many bytes, the others are released. */
-    void consume(InboundConnection c, int bodyBytes) {
-        int unused = c.reservedBytes - bodyBytes;
+    /** Ends the reservation of the message being read: keeps the bytes that its body takes and releases the rest. */
+    void consume(InboundConnection connection, int bodyBytes) {
+        int unused = connection.reservedBytes - bodyBytes;
         if (unused > 0) {
-            release(c.receivingCallback, unused);
+            release(connection.receivingCallback, unused);
         } else if (unused < 0) {
             invariants.check(false, "a body was longer than announced");
         }
-        c.reservedBytes = 0;
+        connection.reservedBytes = 0;
     }
 
-    /** Releases the body of a whole request. */
+    /** Releases the body of a complete request. */
     void release(InboundRequest request) {
         if (request.body().length > 0) {
             release(isCallback(request.path()), request.body().length);
@@ -47,9 +47,9 @@
 
     private void release(boolean callback, int bytes) {
         if (callback) {
-            room.releaseResult(bytes);
+            budget.releaseResult(bytes);
         } else {
-            room.releaseBody(bytes);
+            budget.releaseBody(bytes);
         }
         onReleased.run();
     }
--- a/node/src/main/java/hookweir/net/server/Callback.java
+++ b/node/src/main/java/hookweir/net/server/Callback.java
@@ -8,12 +8,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a worker tells of a job.
+ * A worker's callback: its report on one job.
  *
  * @param id the request's id
  * @param workerId the worker's id
  * @param state started, running, done, failed, returned or lost
- * @param completedShare how much is done, for running
+ * @param completedShare the completed share of the job, for running
  * @param result the result's bytes, unaltered, for done
  * @param loadReport a load report, or null
  */
@@ -21,7 +21,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final byte[] EMPTY_RESULT = new byte[0];
 
-    /** Reads the body of a call; null where it is no such object. */
+    /** Parses the body of a callback; returns null if it is not a valid callback object. */
     public static Callback parse(byte[] body) {
         String id = null;
         String from = null;
@@ -29,7 +29,8 @@
         double share = 0;
         byte[] result = EMPTY_RESULT;
         JsonNode load = null;
-        // Field by field: most are short, and a tree of the whole would cost several times their bytes.
+        // Streamed field by field: most callbacks are short, and a tree of the whole object would take several times their
+        // size.
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 return null;
--- a/node/src/main/java/hookweir/net/server/CloseReason.java
+++ b/node/src/main/java/hookweir/net/server/CloseReason.java
@@ -1,19 +1,19 @@
 package hookweir.net.server;
 
-/** Why the scheduler ends a connection that it accepted. */
+/** Why the scheduler closes an accepted connection. */
 enum CloseReason {
-    /** The answer that was announced as the last one is written. */
+    /** The final response, sent with Connection: close, has been written. */
     LAST_ANSWER,
-    /** Its input can't be parsed, or took too long; it had an error. */
+    /** An error response ended the connection: its input could not be parsed, was rejected, or took too long. */
     ERROR_ANSWER,
-    /** A worker's call-back took too long; no answer may end its retries. */
+    /** A worker's callback took too long. It gets no response, as any response would end the worker's retries. */
     SLOW_CALLBACK,
-    /** Clients are sent to other schedulers, and it rests. */
+    /** The connection is idle while clients are being moved to other schedulers. */
     SENT_AWAY,
-    /** It brought no request in time, or rested for too long. */
+    /** No request came in time, or the connection was idle for too long. */
     SILENT,
-    /** Its descriptor is needed. */
+    /** Its descriptor is needed for another connection. */
     EVICTED,
-    /** It does not take its answer while room for results is short. */
+    /** The client does not read its response while memory for results is short. */
     ANSWER_NOT_READ
 }
--- a/node/src/main/java/hookweir/net/server/ConnectionCloser.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionCloser.java
@@ -9,76 +9,83 @@
 import hookweir.net.server.InboundConnection.Phase;
 import java.util.function.Supplier;
 
-/** Ends connections so that no answer is lost: an error response where one is due, then a lingering close. Belongs to the loop. */
+/**
+ * Closes connections without losing a response: an error response where one is due, then a lingering close. Belongs to the
+ * loop.
+ */
 final class ConnectionCloser {
     private static final byte[] NO_BODY = new byte[0];
 
     private final Loop loop;
     private final Invariants invariants;
     private final EventLog events;
-    private final ReadControl input;
+    private final ReadControl readControl;
     private final ResponseWriter writer;
     private final Supplier<String> retryAfter;
 
     /**
-     * Closes connections that these parts read and write.
+     * Creates a closer for connections that use this read control and this writer.
      *
-     * @param retryAfter the Retry-After header's value for those that are told to come back, or null
+     * @param retryAfter supplies the Retry-After header's value for 429 responses, or null
      */
-    ConnectionCloser(Loop loop, Invariants invariants, EventLog events, ReadControl input, ResponseWriter writer, Supplier<String> retryAfter) {
+    ConnectionCloser(Loop loop, Invariants invariants, EventLog events, ReadControl readControl, ResponseWriter writer, Supplier<String> retryAfter) {
         this.loop = loop;
         this.invariants = invariants;
         this.events = events;
-        this.input = input;
+        this.readControl = readControl;
         this.writer = writer;
         this.retryAfter = retryAfter;
     }
 
-    /** The connection's input can't be parsed: an error with this status ends it, after the answers to its earlier requests. */
-    void closeWithErrorAfterPending(InboundConnection c, int status) {
+    /**
+     * Closes a connection whose further input is not parsed: sends an error with this status after the responses to its
+     * earlier requests.
+     */
+    void closeWithErrorAfterPending(InboundConnection connection, int status) {
         invariants.count("ingress unreadable " + status);
-        c.errorStatus = status;
-        if (c.isIdle() && !c.isClosing()) {
-            closeWithError(c);
+        connection.errorStatus = status;
+        if (connection.isIdle() && !connection.isClosing()) {
+            closeWithError(connection);
         }
     }
 
-    /** Answers with the connection's error status and ends the connection. */
-    void closeWithError(InboundConnection c) {
-        beginFinalResponse(c);
-        MessageBuilder head = writer.head(c.errorStatus, 0, c.errorStatus == HttpStatus.TOO_MANY_REQUESTS ? retryAfter.get() : null)
+    /** Sends a response with the connection's error status and closes the connection. */
+    void closeWithError(InboundConnection connection) {
+        beginFinalResponse(connection);
+        MessageBuilder head = writer.head(connection.errorStatus, 0, connection.errorStatus == HttpStatus.TOO_MANY_REQUESTS ? retryAfter.get() : null)
             .header("Connection", "close");
-        writer.write(c, head, NO_BODY, () -> close(c, CloseReason.ERROR_ANSWER));
+        writer.write(connection, head, NO_BODY, () -> close(connection, CloseReason.ERROR_ANSWER));
     }
 
-    /** The response that is written next is the connection's last one. */
-    void beginFinalResponse(InboundConnection c) {
-        c.advanceTo(Phase.FINAL_RESPONSE);
-        input.updateReading(c);
+    /** Marks the next response as the connection's final one. */
+    void beginFinalResponse(InboundConnection connection) {
+        connection.advanceTo(Phase.FINAL_RESPONSE);
+        readControl.updateReading(connection);
     }
 
     /**
-     * Closes a connection whose client may still write: shuts its output and discards its input until the client's end or a
-     * time limit. A client that reads on sees the end at once, and its own end is seen here.
+     * Closes a connection whose client may still write: shuts down its output and discards its input until the client closes
+     * or a time limit passes. A client that is still reading sees the end at once, and its own close is detected here.
      */
-    void close(InboundConnection c, CloseReason reason) {
-        if (!c.advanceTo(Phase.LINGERING)) {
+    void close(InboundConnection connection, CloseReason reason) {
+        if (!connection.advanceTo(Phase.LINGERING)) {
             return;
         }
-        recordClose(c, reason);
-        if (HalfClose.shutdownOutput(c.transportConnection)) {
-            input.discardInput(c, 0);
-            input.setUnparsedInput(c, null);
-            input.updateReading(c);
-            c.lingerTimer = loop.schedule(HalfClose.LINGER_US, c.transportConnection::closeSilently);
+        recordClose(connection, reason);
+        if (HalfClose.shutdownOutput(connection.transportConnection)) {
+            readControl.discardInput(connection, 0);
+            readControl.setUnparsedInput(connection, null);
+            readControl.updateReading(connection);
+            connection.lingerTimer = loop.schedule(HalfClose.LINGER_US, connection.transportConnection::closeSilently);
         }
     }
 
-    /** Notes why a connection is ended, whoever ends it. */
-    void recordClose(InboundConnection c, CloseReason reason) {
+    /** Records why a connection is closed. */
+    void recordClose(InboundConnection connection, CloseReason reason) {
         invariants.count("ingress closed " + reason);
         if (reason != CloseReason.LAST_ANSWER) {
-            events.log(() -> "connection of " + c.peerAddress() + " closed: " + reason + (c.errorStatus == 0 ? "" : " " + c.errorStatus));
+            events.log(() -> "connection of " + connection.peerAddress() + " closed: " + reason
+                + (connection.errorStatus == 0 ? "" : " " + connection.errorStatus));
         }
     }
 }
--- a/node/src/main/java/hookweir/net/server/ConnectionTable.java
+++ b/node/src/main/java/hookweir/net/server/ConnectionTable.java
@@ -12,89 +12,96 @@
 import java.util.function.IntSupplier;
 
 /**
- * All accepted connections, least recently used first, within the limits on descriptors and on clients' connections. Evicts
- * connections whose end harms nobody, and stops accepting where there are none. Belongs to the loop.
+ * All accepted connections, least recently used first, within the limits on descriptors and on client connections. Evicts
+ * connections that can be closed without losing a job, and suspends accepting if there are none. Belongs to the loop.
  */
 final class ConnectionTable {
-    /** After no idle client was found, none is searched for again for so long: a burst of jobs must not scan the table for each. */
+    /**
+     * Minimum time between a search that found no idle client connection and the next search, so that a burst of jobs does
+     * not scan the table for each job.
+     */
     private static final long IDLE_SEARCH_INTERVAL_US = 50_000;
-    /** Evicted connections that may linger at a time. Their descriptors come on top of the limit, out of the process's own. */
+    /**
+     * Evicted connections that may linger at a time. Their descriptors come on top of the limit, from the process's own
+     * reserve.
+     */
     private static final int MAX_LINGERING_EVICTED = 16;
 
     private final Loop loop;
     private final Invariants invariants;
-    private final ResourceBudget room;
-    private final IntSupplier workerLinks;
-    private final Acceptor door;
+    private final ResourceBudget budget;
+    private final IntSupplier workerConnections;
+    private final Acceptor acceptor;
     private final ConnectionCloser closer;
     private final Set<InboundConnection> connections = new LinkedHashSet<>();
-    /** Evicted connections that still linger. */
+    /** Evicted connections that are still lingering. */
     private final Set<InboundConnection> lingeringEvicted = new LinkedHashSet<>();
-    /** Connections that brought a job. */
+    /** The number of connections that carried a job. */
     private int clientConnections;
     private long nextIdleSearchUs;
 
-    ConnectionTable(Loop loop, Invariants invariants, ResourceBudget room, IntSupplier workerLinks, Acceptor door, ConnectionCloser closer) {
+    ConnectionTable(Loop loop, Invariants invariants, ResourceBudget budget, IntSupplier workerConnections, Acceptor acceptor, ConnectionCloser closer) {
         this.loop = loop;
         this.invariants = invariants;
-        this.room = room;
-        this.workerLinks = workerLinks;
-        this.door = door;
+        this.budget = budget;
+        this.workerConnections = workerConnections;
+        this.acceptor = acceptor;
         this.closer = closer;
     }
 
     /** Adds an accepted connection. */
-    void add(InboundConnection c) {
-        connections.add(c);
+    void add(InboundConnection connection) {
+        connections.add(connection);
         enforceDescriptorLimit();
     }
 
     /** Removes a closed connection. */
-    void remove(InboundConnection c) {
-        connections.remove(c);
-        if (c.carriesJobs) {
+    void remove(InboundConnection connection) {
+        connections.remove(connection);
+        if (connection.carriesJobs) {
             clientConnections--;
         }
-        lingeringEvicted.remove(c);
-        if (door.isDescriptorLimitReached()) {
+        lingeringEvicted.remove(connection);
+        if (acceptor.isDescriptorLimitReached()) {
             enforceDescriptorLimit();
         }
     }
 
-    /** Makes a connection the most recently used one. */
-    void markUsed(InboundConnection c) {
-        connections.remove(c);
-        connections.add(c);
+    /** Moves a connection to the most recently used end. */
+    void markUsed(InboundConnection connection) {
+        connections.remove(connection);
+        connections.add(connection);
     }
 
-    /** Counts a connection as a client's. */
-    void markClientConnection(InboundConnection c) {
-        if (!c.carriesJobs) {
-            c.carriesJobs = true;
+    /** Counts a connection as a client connection. */
+    void markClientConnection(InboundConnection connection) {
+        if (!connection.carriesJobs) {
+            connection.carriesJobs = true;
             clientConnections++;
         }
     }
 
-    /** Whether clients have as many connections as they may. */
+    /** Whether clients hold as many connections as they may. */
     boolean isClientLimitReached() {
-        return clientConnections >= room.maxClientConnections();
+        return clientConnections >= budget.maxClientConnections();
     }
 
-    /** Whether new connections wait in the kernel for a descriptor. */
+    /** Whether new connections are left in the kernel's backlog for lack of descriptors. */
     boolean isDescriptorLimitReached() {
-        return door.isDescriptorLimitReached();
+        return acceptor.isDescriptorLimitReached();
     }
 
-    /** Evicts the client's connection that has been idle longest, so that another may bring a job; false where there is none. */
+    /** Evicts the least recently used idle client connection to make a place for a new job; returns false if there is none. */
     boolean evictIdleClient() {
         long now = loop.nowUs();
         if (now < nextIdleSearchUs) {
             return false;
         }
-        for (InboundConnection c : connections) {
-            if (c.carriesJobs && c.isIdleKeepAlive() && !c.isClosing() && c.evictionCost(now) < InboundConnection.COST_REQUEST_EXPECTED) {
+        for (InboundConnection connection : connections) {
+            if (connection.carriesJobs && connection.isIdleKeepAlive() && !connection.isClosing()
+                    && connection.evictionCost(now) < InboundConnection.COST_REQUEST_EXPECTED) {
                 invariants.count("ingress made way for a job");
-                evict(c);
+                evict(connection);
                 return true;
             }
         }
@@ -102,33 +109,35 @@
         return false;
     }
 
-    /** Keeps within the limit on descriptors: evicts connections as far as that harms nobody, and else stops accepting. */
+    /** Enforces the limit on descriptors: evicts connections that can be closed without losing a job, or suspends accepting. */
     void enforceDescriptorLimit() {
-        int limit = room.maxAcceptedConnections(workerLinks.getAsInt());
+        int limit = budget.maxAcceptedConnections(workerConnections.getAsInt());
         for (var victim = findVictim(); connections.size() > limit && victim.isPresent(); victim = findVictim()) {
             evict(victim.get());
         }
-        // Once it is shut the door opens where a connection may make way for the next: idle ones would keep everybody out.
-        door.setDescriptorLimitReached(connections.size() > limit || connections.size() == limit && door.isDescriptorLimitReached() && findCheapest().isEmpty());
+        // Once suspended, accepting resumes as soon as one connection can be evicted for the next. Otherwise idle
+        // connections would keep every new one out.
+        acceptor.setDescriptorLimitReached(connections.size() > limit
+            || connections.size() == limit && acceptor.isDescriptorLimitReached() && findCheapest().isEmpty());
     }
 
     /**
-     * The connection that costs least to end, of several such the least recently used; empty where each would lose a job.
-     * New clients then wait in the kernel: those with a job under way get their answers first.
+     * The connection with the lowest eviction cost, the least recently used one among equals; empty if every eviction would
+     * lose a job. New clients then wait in the kernel's backlog until jobs in progress get their responses.
      */
     private Optional<InboundConnection> findVictim() {
-        return connections.size() <= room.maxAcceptedConnections(workerLinks.getAsInt()) ? Optional.empty() : findCheapest();
+        return connections.size() <= budget.maxAcceptedConnections(workerConnections.getAsInt()) ? Optional.empty() : findCheapest();
     }
 
     private Optional<InboundConnection> findCheapest() {
         long now = loop.nowUs();
         InboundConnection best = null;
         int lowestCost = InboundConnection.COST_REQUEST_EXPECTED;
-        for (InboundConnection c : connections) {
-            int cost = c.evictionCost(now);
+        for (InboundConnection connection : connections) {
+            int cost = connection.evictionCost(now);
             if (cost < lowestCost) {
                 lowestCost = cost;
-                best = c;
+                best = connection;
             }
         }
         return Optional.ofNullable(best);
@@ -151,18 +160,18 @@
         }
     }
 
-    /** A copy of the table, for loops that may end connections. */
+    /** A copy of the table, for loops that may close connections. */
     List<InboundConnection> snapshot() {
         return new ArrayList<>(connections);
     }
 
-    /** Open connections, without those that were evicted. */
+    /** The number of open connections, excluding evicted ones. */
     int size() {
         return connections.size();
     }
 
-    /** Whether all that is left are workers' connections without a request under way. */
+    /** Whether the only connections left are workers' callback connections without a request in progress. */
     boolean hasOnlyIdleCallbackConnections() {
-        return lingeringEvicted.isEmpty() && connections.stream().allMatch(c -> c.isInactive() && c.carriesCallbacks);
+        return lingeringEvicted.isEmpty() && connections.stream().allMatch(connection -> connection.isInactive() && connection.carriesCallbacks);
     }
 }
--- a/node/src/main/java/hookweir/net/server/HttpServer.java
+++ b/node/src/main/java/hookweir/net/server/HttpServer.java
@@ -14,10 +14,10 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 
 /**
- * The client's side: owns the listening address and all accepted connections, those of workers' call-backs included. It hands
- * whole requests to its {@link RequestHandler} on the loop and writes the answers; which decisions they lead to is none of its
- * business, so another protocol's ingress can stand beside it. This class puts its parts together; all of them belong to the
- * loop.
+ * The scheduler's HTTP server: owns the listening address and all accepted connections, from clients and from workers that
+ * send callbacks. It passes complete requests to its {@link RequestHandler} on the loop and writes the responses. It takes
+ * no scheduling decisions, so a server for another protocol can be added beside it. This class wires its parts together; all
+ * of them belong to the loop.
  */
 public final class HttpServer {
     private final Loop loop;
@@ -33,20 +33,21 @@
     private final RequestReader reader;
 
     /**
-     * An ingress that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param workerLinks how many links to workers there are: they share the descriptors
+     * @param workerConnections supplies the number of connections to workers, which share the descriptors
      */
-    public HttpServer(Loop loop, Transport transport, Invariants invariants, EventLog events, ResourceBudget room, IntSupplier workerLinks, RequestHandler handler) {
+    public HttpServer(Loop loop, Transport transport, Invariants invariants, EventLog events, ResourceBudget budget,
+            IntSupplier workerConnections, RequestHandler handler) {
         this.loop = loop;
-        reservations = new BodyReservations(invariants, room, this::budgetReleased);
+        reservations = new BodyReservations(invariants, budget, this::budgetReleased);
         readControl = new ReadControl(loop, invariants, reservations);
-        writer = new ResponseWriter(loop, transport, room);
+        writer = new ResponseWriter(loop, transport, budget);
         closer = new ConnectionCloser(loop, invariants, events, readControl, writer, handler::retryAfter);
         acceptor = new Acceptor(loop, binding(transport), invariants);
-        connections = new ConnectionTable(loop, invariants, room, workerLinks, acceptor, closer);
-        admission = new BodyAdmission(loop, invariants, room, handler, readControl, closer, writer, connections, this::readBuffered);
-        sweeper = new ConnectionSweeper(loop, invariants, room, connections, admission, closer);
+        connections = new ConnectionTable(loop, invariants, budget, workerConnections, acceptor, closer);
+        admission = new BodyAdmission(loop, invariants, budget, handler, readControl, closer, writer, connections, this::readBuffered);
+        sweeper = new ConnectionSweeper(loop, invariants, budget, connections, admission, closer);
         requestQueue = new RequestQueue(loop, invariants, handler, reservations, readControl, admission, connections, sweeper, closer, writer,
             this::readBuffered);
         reader = new RequestReader(loop, invariants, reservations, readControl, admission, closer, requestQueue);
@@ -61,18 +62,18 @@
         admission.budgetReleased();
     }
 
-    private void readBuffered(InboundConnection c) {
-        reader.readBuffered(c);
+    private void readBuffered(InboundConnection connection) {
+        reader.readBuffered(connection);
     }
 
-    /** Takes the address, or the listening socket inherited as descriptor 0; the port that it got. */
+    /** Binds the address, or uses the listening socket inherited as descriptor 0, and returns the port. */
     public int listen(InetSocketAddress address, boolean inherited) throws IOException {
         int port = acceptor.listen(address, inherited);
         loop.post(sweeper::run);
         return port;
     }
 
-    /** Lets clients in, or leaves them to whoever else accepts from the same socket. */
+    /** Starts or stops accepting. While stopped, connections are left to any other process that accepts from the same socket. */
     public void setAccepting(boolean accepting) {
         acceptor.setAccepting(accepting);
     }
@@ -82,76 +83,76 @@
         reservations.release(request);
     }
 
-    /** Keeps within the descriptors that there are: ends connections as far as that harms nobody, and else stops accepting. */
+    /** Enforces the limit on descriptors: evicts connections that can be closed without losing a job, or suspends accepting. */
     public void enforceDescriptorLimit() {
         connections.enforceDescriptorLimit();
     }
 
-    /** Counts the connection as a client's, and sets what to do if the client disconnects before its answer. */
-    public void setClientDisconnectAction(InboundConnection c, Runnable action) {
-        connections.markClientConnection(c);
-        c.onDisconnect = action;
+    /** Counts the connection as a client connection and sets the action to run if the client disconnects before its response. */
+    public void setClientDisconnectAction(InboundConnection connection, Runnable action) {
+        connections.markClientConnection(connection);
+        connection.onDisconnect = action;
     }
 
-    /** Marks a connection that carries call-backs: it is of use for as long as jobs are out. */
-    public void markCallbackConnection(InboundConnection c) {
-        c.carriesCallbacks = true;
+    /** Marks a connection that carries callbacks. It stays useful while jobs are in progress. */
+    public void markCallbackConnection(InboundConnection connection) {
+        connection.carriesCallbacks = true;
     }
 
-    /** Answers the connection's request under way; retryAfter may be null. */
-    public void respond(InboundConnection c, int status, String retryAfter, byte[] body) {
-        requestQueue.respond(c, status, retryAfter, body);
+    /** Sends the response to the connection's current request; retryAfter may be null. */
+    public void respond(InboundConnection connection, int status, String retryAfter, byte[] body) {
+        requestQueue.respond(connection, status, retryAfter, body);
     }
 
     /**
-     * While on, answers end their connections and idle ones are ended, once what lies on them unread has been read; new ones
-     * are still accepted and served. A connection whose first request is due, or on which one is coming in, is not idle: its
-     * client would lose a job.
+     * Starts or stops moving clients to other schedulers. Meanwhile responses end their connections, and idle connections
+     * are closed once their unread input has been read; new connections are still accepted and served. A connection whose
+     * first request is due, or whose request is being received, is not idle: closing it would lose its client's job.
      */
     public void setDraining(boolean draining) {
         sweeper.setDraining(draining);
     }
 
     /**
-     * Nothing is being read or answered, and no client's connection is left: each was ended in two halves, as a request may come
-     * on it until then.
+     * Whether nothing is being read or written and no client connection is left. Client connections are half-closed first
+     * and count until they are fully closed, as a request may still arrive on them.
      */
     public boolean isDrained() {
         return !writer.isWriting() && connections.hasOnlyIdleCallbackConnections();
     }
 
-    /** Open connections. */
+    /** The number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Passes connections' events to the parts that they concern. */
+    /** Passes connection events to the parts that handle them. */
     private final class ConnectionListener implements RequestFilter.Listener {
         @Override
-        public void opened(InboundConnection c) {
-            connections.add(c);
+        public void opened(InboundConnection connection) {
+            connections.add(connection);
             acceptor.connectionAccepted();
         }
 
         @Override
-        public void received(InboundConnection c, byte[] bytes, int from, int to) {
-            reader.read(c, bytes, from, to);
+        public void received(InboundConnection connection, byte[] bytes, int from, int to) {
+            reader.read(connection, bytes, from, to);
         }
 
         @Override
-        public void closed(InboundConnection c) {
-            c.advanceTo(Phase.CLOSED);
-            connections.remove(c);
-            admission.connectionClosed(c);
-            requestQueue.discardPending(c);
-            readControl.setUnparsedInput(c, null);
-            readControl.discardInput(c, 0);
-            if (c.lingerTimer != null) {
-                c.lingerTimer.cancel();
+        public void closed(InboundConnection connection) {
+            connection.advanceTo(Phase.CLOSED);
+            connections.remove(connection);
+            admission.connectionClosed(connection);
+            requestQueue.discardPending(connection);
+            readControl.setUnparsedInput(connection, null);
+            readControl.discardInput(connection, 0);
+            if (connection.lingerTimer != null) {
+                connection.lingerTimer.cancel();
             }
-            if (c.onDisconnect != null) {
-                Runnable action = c.onDisconnect;
-                c.onDisconnect = null;
+            if (connection.onDisconnect != null) {
+                Runnable action = connection.onDisconnect;
+                connection.onDisconnect = null;
                 action.run();
             }
         }
--- a/node/src/main/java/hookweir/net/server/InboundConnection.java
+++ b/node/src/main/java/hookweir/net/server/InboundConnection.java
@@ -5,76 +5,85 @@
 import java.util.Deque;
 import org.glassfish.grizzly.Connection;
 
-/** One accepted connection. Belongs to the loop's thread. */
+/** One accepted connection with its state. Belongs to the loop. */
 public final class InboundConnection {
-    /** How far its life has come; it only ever goes on. */
+    /** The phases of a connection, in order. A connection never returns to an earlier phase. */
     enum Phase {
-        /** Requests are read and answered. */
+        /** Requests are read and get their responses. */
         OPEN,
-        /** Further input is discarded; the requests that were read are still answered. */
+        /** Further input is discarded; requests that were already read still get their responses. */
         IGNORING_INPUT,
-        /** Its last response is being written. */
+        /** The final response is being written. */
         FINAL_RESPONSE,
-        /** Its output is shut. Input is discarded until the client's end or a time limit. */
+        /** The output is shut down. Input is discarded until the client closes or a time limit passes. */
         LINGERING,
-        /** It is gone. */
+        /** The connection is closed. */
         CLOSED
     }
 
-    /** The cost of one that is in use. */
+    /** The eviction cost of a connection that is in use. */
     static final int COST_IN_USE = 8;
-    /** The cost of one whose first request may be on the way, and of one on which a request is being written. */
+    /** The eviction cost of a connection whose next request may be on its way. Only connections that cost less are evicted. */
     static final int COST_REQUEST_EXPECTED = 6;
     private static final int COST_RECEIVING = 7;
-    /** A good client begins its first request sooner than this after connecting... */
+    private static final int COST_IDLE_CALLBACK_CONNECTION = 5;
+    private static final int COST_IDLE_JOB_CONNECTION = 4;
+    private static final int COST_SLOW_REQUEST = 3;
+    /** An idle connection that carried neither jobs nor callbacks, such as one for health checks. */
+    private static final int COST_IDLE_OTHER = 2;
+    private static final int COST_FIRST_REQUEST_OVERDUE = 1;
+    /** A well-behaved client starts its first request within this time after connecting. */
     static final long FIRST_REQUEST_DUE_US = 400_000;
     private static final long RECENT_USE_US = 1_000_000;
-    /** ...and has written any request by this. */
+    /** A well-behaved client finishes writing any request within this time. */
     private static final long REQUEST_TRANSFER_US = 2_200_000;
 
     final Connection<?> transportConnection;
     final long openedUs;
-    /** The request being answered, or null. */
+    /** The request in progress, or null. */
     InboundRequest currentRequest;
-    /** Requests that a client sent ahead of its answers. */
+    /** Requests that the client pipelined behind the current one. */
     final Deque<InboundRequest> pipelined = new ArrayDeque<>();
-    /** Runs if the client disconnects before its answer. */
+    /** Runs if the client disconnects before its response. */
     Runnable onDisconnect;
     long lastUsedUs;
-    /** It brought a whole request once. */
+    /** Whether a complete request was received on this connection. */
     boolean requestReceived;
     boolean carriesCallbacks;
     boolean carriesJobs;
     private Phase phase = Phase.OPEN;
-    /** Bad requests in a row. */
+    /** The number of consecutive requests that got a 4xx status other than 429. */
     int consecutiveBadRequests;
-    /** No request is parsed for a while, as there were too many bad ones. */
+    /** Whether parsing is suspended for a while after too many bad requests. */
     boolean throttled;
-    /** Reading is off, as the connection is throttled or a body waits for room. */
+    /** Whether reading is paused because the connection is throttled or a body waits for memory. */
     boolean readingPaused;
-    /** The status that ends the connection after the pending answers, as further input can't be parsed; or 0. */
+    /**
+     * The status of the error response that ends the connection after its pending responses, or 0. Further input is not
+     * parsed.
+     */
     int errorStatus;
 
     final RequestDecoder decoder = new RequestDecoder();
-    /** When the request that was read in part began; 0 between requests. */
+    /** When the partially read request began; 0 between requests. */
     long partialRequestSinceUs;
-    /** Room reserved for the body that is being read. */
+    /** Memory reserved for the body that is being read. */
     int reservedBytes;
-    /** The body being read is that of a worker's call-back. */
+    /** Whether the body being read is that of a worker's callback. */
     boolean receivingCallback;
-    /** Since when a body waits for room; 0 while none does. */
+    /** Since when a body has been waiting for memory; 0 if none is. */
     long budgetWaitSinceUs;
-    /** Input that was read and can't be parsed yet, or null. */
+    /** Input that was read but cannot be parsed yet, or null. */
     byte[] unparsedInput;
-    /** Bytes of responses that the client has not taken. */
+    /** Response bytes that the client has not read yet. */
     int unwrittenBytes;
-    /** Since when the client has taken none of them; 0 where there are none. */
+    /** Since when the client has read none of them; 0 if there are none. */
     long unwrittenSinceUs;
     /** Bytes discarded since the last pause. */
     int discardedBytes;
-    /** Reading is off for a while, as too much was discarded. */
+    /** Whether reading is paused because too much input was discarded. */
     boolean discardPaused;
-    /** The time limit of a lingering close. */
+    /** The timer that limits a lingering close. */
     TimerWheel.Timer lingerTimer;
 
     InboundConnection(Connection<?> connection, long openedUs) {
@@ -83,12 +92,12 @@
         this.lastUsedUs = openedUs;
     }
 
-    /** The address that it came from, for the log. */
+    /** The client's address, for the log. */
     String peerAddress() {
         return String.valueOf(transportConnection.getPeerAddress());
     }
 
-    /** Goes on to a later phase; false where it is there already, or further. */
+    /** Advances to a later phase; returns false if the connection is already in that phase or a later one. */
     boolean advanceTo(Phase next) {
         if (next.compareTo(phase) <= 0) {
             return false;
@@ -97,66 +106,73 @@
         return true;
     }
 
-    /** It can take no further answer. */
+    /** Whether no further response can be sent: the final one has been started, or the connection is ending. */
     boolean isClosing() {
         return phase.compareTo(Phase.FINAL_RESPONSE) >= 0;
     }
 
-    /** Further input is discarded. */
+    /** Whether further input is discarded. */
     boolean ignoresInput() {
         return phase != Phase.OPEN;
     }
 
-    /** Its output is shut, or it is gone. */
+    /** Whether the output is shut down or the connection is closed. */
     boolean isOutputShut() {
         return phase.compareTo(Phase.LINGERING) >= 0;
     }
 
     /**
-     * What its end would cost, {@link #COST_IN_USE} at most. A client whose kept connection ends opens another, so that costs
-     * less than a young one: a new connection for each job is what some good clients use, and some write it for 2 s.
+     * The cost of evicting this connection, from 0 to {@link #COST_IN_USE}. Evicting an idle keep-alive connection costs
+     * less than evicting one that has not sent its first request: the client of the former reconnects, whereas some
+     * well-behaved clients open a connection for each job and take up to 2 s to write it.
      */
     int evictionCost(long now) {
         if (isOutputShut() || isClosing() && unwrittenSinceUs != 0 && now - unwrittenSinceUs > RECENT_USE_US) {
-            return 0; // it had its last response, or does not take it
+            return 0; // the final response was sent, or the client does not read it
         } else if (isClosing()) {
             return COST_IN_USE;
         } else if (!isIdle()) {
             return COST_IN_USE;
         } else if (budgetWaitSinceUs != 0) {
-            return COST_IN_USE; // it is not its client that is slow
+            return COST_IN_USE; // the scheduler is the cause of the delay, not the client
         } else if (partialRequestSinceUs != 0) {
-            return now - partialRequestSinceUs > REQUEST_TRANSFER_US ? 3 : COST_RECEIVING;
+            return now - partialRequestSinceUs > REQUEST_TRANSFER_US ? COST_SLOW_REQUEST : COST_RECEIVING;
         } else if (!requestReceived) {
-            return now - openedUs > FIRST_REQUEST_DUE_US ? 1 : COST_REQUEST_EXPECTED;
+            return now - openedUs > FIRST_REQUEST_DUE_US ? COST_FIRST_REQUEST_OVERDUE : COST_REQUEST_EXPECTED;
         }
         if ((carriesCallbacks || carriesJobs) && now - lastUsedUs < RECENT_USE_US) {
-            return COST_REQUEST_EXPECTED; // its next request may be on the way already
+            return COST_REQUEST_EXPECTED; // its next request may be on its way already
         }
-        return carriesCallbacks ? 5 : carriesJobs ? 4 : 2;
+        return carriesCallbacks ? COST_IDLE_CALLBACK_CONNECTION : carriesJobs ? COST_IDLE_JOB_CONNECTION : COST_IDLE_OTHER;
     }
 
-    /** A client's kept connection between requests: it may be closed and nothing is lost. */
+    /**
+     * Whether this is a keep-alive connection between requests that may be closed without losing anything. Callback
+     * connections are excluded.
+     */
     boolean isIdleKeepAlive() {
         return isInactive() && requestReceived && !carriesCallbacks;
     }
 
-    /** It may be ended now for the scheduler's own sake: it rests, or its first request is overdue. */
+    /**
+     * Whether the scheduler may close this connection on its own initiative: it is an idle keep-alive connection, or its
+     * first request is overdue.
+     */
     boolean mayClose(long now) {
         return isIdleKeepAlive() || isInactive() && !requestReceived && now - openedUs > FIRST_REQUEST_DUE_US;
     }
 
-    /** Nothing comes in on it, or waits, or is answered, and its end is not yet under way. */
+    /** Whether no request is being received, waiting or in progress, and the connection is not closing. */
     boolean isInactive() {
         return isIdle() && partialRequestSinceUs == 0 && unparsedInput == null && !ignoresInput();
     }
 
-    /** Behind the request being answered there is none that was read. */
+    /** Whether no request was read behind the current one. */
     boolean hasNoPipelinedInput() {
         return pipelined.isEmpty() && unparsedInput == null;
     }
 
-    /** It waits for a request. */
+    /** Whether no request is in progress or pipelined. */
     boolean isIdle() {
         return currentRequest == null && pipelined.isEmpty();
     }
--- a/node/src/main/java/hookweir/net/server/InboundRequest.java
+++ b/node/src/main/java/hookweir/net/server/InboundRequest.java
@@ -1,20 +1,20 @@
 package hookweir.net.server;
 
 /**
- * One whole request as it came in; not changed after.
+ * One complete request. Immutable by convention.
  *
  * @param method its method
  * @param path its path, as sent
  * @param query its query, as sent, or null
- * @param headers those that matter
+ * @param headers the headers that the scheduler uses
  * @param body its body
- * @param keepAlive the client lets the connection live on
- * @param http10 it came by HTTP/1.0, whose clients must be told that a connection lives on
+ * @param keepAlive whether the client keeps the connection open after the response
+ * @param http10 whether it was sent by HTTP/1.0, in which case the response must say that the connection is kept alive
  */
 public record InboundRequest(String method, String path, String query, Headers headers, byte[] body, boolean keepAlive,
     boolean http10) {
 
-    /** The headers of a client's request; each is null where absent. */
+    /** The headers of a client's request; each is null if absent. */
     public record Headers(String id, String kind, String deadlineMs, String retry, String cost, String extra, String owner,
         String idempotencyKey, String contentType) {
     }
--- a/node/src/main/java/hookweir/net/server/ReadControl.java
+++ b/node/src/main/java/hookweir/net/server/ReadControl.java
@@ -8,11 +8,11 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Pauses and resumes reading from connections, discards input that is of no use, and counts the bytes that were read and not
- * yet parsed. Belongs to the loop.
+ * Pauses and resumes reading from connections, discards unwanted input, and counts the bytes that were read but not parsed
+ * yet. Belongs to the loop.
  */
 final class ReadControl {
-    /** So much is read and discarded at a time; reading from a sender of more is paused for so long, again and again. */
+    /** How many bytes may be discarded before reading is paused for {@link #DISCARD_PAUSE_US}. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     private static final long DISCARD_PAUSE_US = 100_000;
 
@@ -27,65 +27,69 @@
         this.reservations = reservations;
     }
 
-    /** Bytes that were read and not yet parsed, of all connections. */
+    /** The bytes of all connections that were read but not parsed yet. */
     int unparsedBytes() {
         return unparsedBytes;
     }
 
-    /** Replaces the connection's unparsed input; null where there is none. */
-    void setUnparsedInput(InboundConnection c, byte[] bytes) {
-        unparsedBytes += (bytes == null ? 0 : bytes.length) - (c.unparsedInput == null ? 0 : c.unparsedInput.length);
-        c.unparsedInput = bytes;
+    /** Replaces the connection's unparsed input; null if there is none. */
+    void setUnparsedInput(InboundConnection connection, byte[] bytes) {
+        unparsedBytes += (bytes == null ? 0 : bytes.length) - (connection.unparsedInput == null ? 0 : connection.unparsedInput.length);
+        connection.unparsedInput = bytes;
     }
 
-    /** Ignores all further input of the connection, of which so many bytes were just discarded. */
-    void discardInput(InboundConnection c, int bytes) {
-        c.advanceTo(Phase.IGNORING_INPUT);
-        reservations.consume(c, 0);
-        if (c.isOutputShut() && bytes > 0) {
+    /** Discards all further input of the connection, and counts the bytes that were discarded just now. */
+    void discardInput(InboundConnection connection, int bytes) {
+        connection.advanceTo(Phase.IGNORING_INPUT);
+        reservations.consume(connection, 0);
+        if (connection.isOutputShut() && bytes > 0) {
             invariants.count("ingress bytes after the end");
         }
-        c.discardedBytes += bytes;
-        if (c.discardedBytes > MAX_DISCARDED_BYTES && !c.discardPaused) {
-            pauseDiscarding(c);
+        connection.discardedBytes += bytes;
+        if (connection.discardedBytes > MAX_DISCARDED_BYTES && !connection.discardPaused) {
+            pauseDiscarding(connection);
         }
     }
 
-    /** Reading goes on after a pause, as the client's end of input has to be seen: its earlier requests may still wait for a worker. */
-    private void pauseDiscarding(InboundConnection c) {
-        c.discardPaused = true;
-        enableReading(c, false);
+    /**
+     * Pauses reading and resumes it later. Reading must resume because the client's end of input has to be detected: its
+     * earlier requests may still wait for a worker.
+     */
+    private void pauseDiscarding(InboundConnection connection) {
+        connection.discardPaused = true;
+        enableReading(connection, false);
         loop.schedule(DISCARD_PAUSE_US, () -> {
-            c.discardPaused = false;
-            c.discardedBytes = 0;
-            if (c.transportConnection.isOpen()) {
-                enableReading(c, true);
+            connection.discardPaused = false;
+            connection.discardedBytes = 0;
+            if (connection.transportConnection.isOpen()) {
+                enableReading(connection, true);
             }
         });
     }
 
     /**
-     * Pauses reading while a body waits for room or the connection is throttled, so that further input stays in the kernel.
-     * Guards memory against bodies that find no room, and the loop against clients that keep sending bad requests.
+     * Pauses reading while a body waits for memory or the connection is throttled, so that further input stays in the
+     * kernel. This protects memory from bodies that have no reservation, and the loop from clients that keep sending bad
+     * requests.
      */
-    void updateReading(InboundConnection c) {
-        boolean paused = !c.isClosing() && (c.throttled || c.budgetWaitSinceUs != 0);
-        if (paused != c.readingPaused) {
-            c.readingPaused = paused;
+    void updateReading(InboundConnection connection) {
+        boolean paused = !connection.isClosing() && (connection.throttled || connection.budgetWaitSinceUs != 0);
+        if (paused != connection.readingPaused) {
+            connection.readingPaused = paused;
             invariants.count(paused ? "ingress held back" : "ingress read on");
-            enableReading(c, !paused);
+            enableReading(connection, !paused);
         }
     }
 
-    private static void enableReading(InboundConnection c, boolean enabled) {
+    private static void enableReading(InboundConnection connection, boolean enabled) {
         try {
             if (enabled) {
-                ((NIOConnection) c.transportConnection).enableIOEvent(IOEvent.READ);
+                ((NIOConnection) connection.transportConnection).enableIOEvent(IOEvent.READ);
             } else {
-                ((NIOConnection) c.transportConnection).disableIOEvent(IOEvent.READ);
+                ((NIOConnection) connection.transportConnection).disableIOEvent(IOEvent.READ);
             }
         } catch (IOException e) {
-            c.transportConnection.closeSilently();
+            connection.transportConnection.closeSilently();
         }
     }
 }
--- a/node/src/main/java/hookweir/net/server/RequestDecoder.java
+++ b/node/src/main/java/hookweir/net/server/RequestDecoder.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Reads clients' requests, and strictly: one that two readers could frame in two ways may hide another in its body. One
- * for each connection; belongs to the selector.
+ * Decodes HTTP/1.1 requests, strictly: a request that two parsers could frame differently may hide a second request in its
+ * body (request smuggling). One instance per connection; runs on the selector.
  */
 public final class RequestDecoder extends MessageReader {
     private static final byte[] NO_BODY = new byte[0];
@@ -15,9 +15,10 @@
     private static final int VERSION_CHARS = 8;
     private static final int MAX_HEADERS = 64;
     private static final int INITIAL_CHUNKED_BODY_BYTES = 1024;
-    /** Those that decide what a request is: each may come once, and not behind the body. */
+    /** Headers that determine the meaning of a request. Each may occur once, and not in the trailer. */
     private static final String[] UNIQUE_HEADERS = {"content-length", "transfer-encoding", "host", "upgrade", "expect",
         "idempotency-key", "req-id", "req-kind", "req-deadline-ms", "req-retry", "req-cost", "req-extra", "req-owner"};
+    /** The headers behind this one are in the order of the components of {@link InboundRequest.Headers}. */
     private static final int IDEMPOTENCY_KEY_INDEX = Arrays.asList(UNIQUE_HEADERS).indexOf("idempotency-key");
     private static final int REQ_ID_INDEX = IDEMPOTENCY_KEY_INDEX + 1;
     private static final Set<String> METHODS = Set.of("GET", "HEAD", "POST");
@@ -30,6 +31,7 @@
     private static final int HTTP_VERSION_NOT_SUPPORTED = 505;
 
     private final boolean forClients;
+    /** Bit i is set once {@link #UNIQUE_HEADERS}[i] was seen. */
     private int seenHeaders;
     private int headerCount;
     private boolean http10;
@@ -49,48 +51,51 @@
     private String contentType;
     private InboundRequest request;
 
-    /** For clients' requests. */
+    /** Creates a decoder for clients' requests. */
     public RequestDecoder() {
         this(true);
     }
 
-    /** For requests of clients, or of operators, whose methods are looked at elsewhere. */
+    /**
+     * Creates a decoder. Requests of clients are restricted to certain methods, and a POST needs a length; otherwise (for
+     * operators) the caller checks the method.
+     */
     public RequestDecoder(boolean forClients) {
         super(true);
         this.forClients = forClients;
     }
 
-    /** The request that was whole last; it is no longer kept here. */
+    /** Returns the last complete request and forgets it. */
     public InboundRequest takeRequest() {
         InboundRequest taken = request;
         request = null;
         return taken;
     }
 
-    /** So many bytes of a body were announced and wait for {@link #admitBody}; 0 where none are. */
+    /** The size of an announced body that waits for {@link #admitBody}, or 0. For a chunked body it is the maximum size. */
     public int announcedBodyBytes() {
         return !awaitingAdmission ? 0 : chunked ? Transport.MAX_BODY_BYTES : (int) contentLength;
     }
 
-    /** Room was found for the body that was announced. */
+    /** Allows the announced body to be read, once memory was reserved for it. */
     public void admitBody() {
         awaitingAdmission = false;
         body = new byte[chunked ? INITIAL_CHUNKED_BODY_BYTES : (int) contentLength];
     }
 
-    /** Its client waits for leave to send the body; asked once. */
+    /** Whether the client waits for 100 Continue before it sends the body. Resets the flag. */
     boolean takeExpectContinue() {
         boolean was = expectsContinue;
         expectsContinue = false;
         return was;
     }
 
-    /** The connection takes no answer to a further request. */
+    /** Whether the connection stays open after the response. */
     private boolean keepAlive() {
         return !hasConnectionClose && (!http10 || hasConnectionKeepAlive);
     }
 
-    /** The class of the request whose body was announced, as sent; null where it named none. */
+    /** The class of the request whose body was announced, as sent, or null. */
     String className() {
         return uniqueHeaderValues[REQ_ID_INDEX + 1];
     }
@@ -171,7 +176,7 @@
         for (int i = 0; i < UNIQUE_HEADERS.length; i++) {
             if (lineEquals(UNIQUE_HEADERS[i], 0, nameEnd)) {
                 if (trailer || (seenHeaders & 1 << i) != 0) {
-                    fail(BAD_REQUEST); // of two lengths, ids or classes, which one counts?
+                    fail(BAD_REQUEST); // with two lengths, ids or classes it is ambiguous which one counts
                     return;
                 }
                 seenHeaders |= 1 << i;
@@ -208,7 +213,7 @@
                     fail(EXPECTATION_FAILED);
                 }
             }
-            // RFC 9110 7.8 lets a server pass over an offer to go on by another protocol: this one's framing stands.
+            // RFC 9110, section 7.8 allows a server to ignore an Upgrade header; the request is framed as HTTP/1.1.
             case "host", "upgrade" -> { }
             default -> uniqueHeaderValues[index] = text(from, to);
         }
@@ -246,7 +251,7 @@
             awaitingAdmission = true;
             expectChunkedBody();
         } else if (forClients && isPost && contentLength < 0) {
-            fail(LENGTH_REQUIRED); // whoever left the length out may have left the job out too
+            fail(LENGTH_REQUIRED); // a client that omitted the length may have omitted the job too
         } else {
             awaitingAdmission = contentLength > 0;
             expectBody(Math.max(0, contentLength));
@@ -271,8 +276,9 @@
 
     @Override
     protected void onMessageEnd() {
-        InboundRequest.Headers headers = new InboundRequest.Headers(uniqueHeaderValues[REQ_ID_INDEX], uniqueHeaderValues[REQ_ID_INDEX + 1], uniqueHeaderValues[REQ_ID_INDEX + 2], uniqueHeaderValues[REQ_ID_INDEX + 3],
-            uniqueHeaderValues[REQ_ID_INDEX + 4], uniqueHeaderValues[REQ_ID_INDEX + 5], uniqueHeaderValues[REQ_ID_INDEX + 6], uniqueHeaderValues[IDEMPOTENCY_KEY_INDEX], contentType);
+        InboundRequest.Headers headers = new InboundRequest.Headers(uniqueHeaderValues[REQ_ID_INDEX], uniqueHeaderValues[REQ_ID_INDEX + 1],
+            uniqueHeaderValues[REQ_ID_INDEX + 2], uniqueHeaderValues[REQ_ID_INDEX + 3], uniqueHeaderValues[REQ_ID_INDEX + 4],
+            uniqueHeaderValues[REQ_ID_INDEX + 5], uniqueHeaderValues[REQ_ID_INDEX + 6], uniqueHeaderValues[IDEMPOTENCY_KEY_INDEX], contentType);
         request = new InboundRequest(method, path, query, headers, bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes),
             keepAlive(), http10);
         body = NO_BODY;
--- a/node/src/main/java/hookweir/net/server/RequestFilter.java
+++ b/node/src/main/java/hookweir/net/server/RequestFilter.java
@@ -28,7 +28,7 @@
     }
 
     private static final Attribute<InboundConnection> CONNECTION_ATTRIBUTE =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.ingress");
+        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.server.connection");
 
     private final Loop loop;
     private final Transport transport;
--- a/node/src/main/java/hookweir/net/server/RequestHandler.java
+++ b/node/src/main/java/hookweir/net/server/RequestHandler.java
@@ -1,9 +1,9 @@
 package hookweir.net.server;
 
-/** Handles whole requests, on the loop. Each request is to be answered once by {@link HttpServer#respond}. */
+/** Handles complete requests, on the loop. Each request must get one response, by {@link HttpServer#respond}. */
 public interface RequestHandler {
     /** Handles a request. Its body counts as held until {@link HttpServer#releaseBody}. */
-    void handle(InboundConnection from, InboundRequest request);
+    void handle(InboundConnection connection, InboundRequest request);
 
     /** Whether a request for this path submits a job. */
     boolean isJob(String path);
@@ -11,7 +11,7 @@
     /** The number of the request class with this name, or -1. */
     int classNumber(String className);
 
-    /** Called when a job of the named class is rejected for lack of room before its body was read. */
+    /** Called when a job of the named class is rejected for lack of memory before its body was read. */
     void jobRejected(String className);
 
     /** The value of the Retry-After header for rejected jobs, or null. */
--- a/node/src/main/java/hookweir/net/server/RequestQueue.java
+++ b/node/src/main/java/hookweir/net/server/RequestQueue.java
@@ -6,9 +6,9 @@
 import hookweir.net.MessageBuilder;
 import java.util.function.Consumer;
 
-/** Hands each connection's requests to the handler one at a time, in order, and writes their answers. Belongs to the loop. */
+/** Passes each connection's requests to the handler one at a time, in order, and writes their responses. Belongs to the loop. */
 final class RequestQueue {
-    /** A connection is throttled after each bad request beyond so many in a row. */
+    /** A connection is throttled after each bad request beyond this many in a row. */
     private static final int MAX_BAD_REQUESTS = 3;
     private static final long THROTTLE_US = 100_000;
 
@@ -16,125 +16,127 @@
     private final Invariants invariants;
     private final RequestHandler handler;
     private final BodyReservations reservations;
-    private final ReadControl input;
+    private final ReadControl readControl;
     private final BodyAdmission admission;
     private final ConnectionTable connections;
-    private final ConnectionSweeper sweep;
+    private final ConnectionSweeper sweeper;
     private final ConnectionCloser closer;
     private final ResponseWriter writer;
     private final Consumer<InboundConnection> readBuffered;
 
     /**
-     * Queues for this handler.
+     * Creates a queue for this handler.
      *
      * @param readBuffered parses a connection's buffered input once nothing blocks it any more
      */
-    RequestQueue(Loop loop, Invariants invariants, RequestHandler handler, BodyReservations reservations, ReadControl input,
-            BodyAdmission admission, ConnectionTable connections, ConnectionSweeper sweep, ConnectionCloser closer, ResponseWriter writer,
+    RequestQueue(Loop loop, Invariants invariants, RequestHandler handler, BodyReservations reservations, ReadControl readControl,
+            BodyAdmission admission, ConnectionTable connections, ConnectionSweeper sweeper, ConnectionCloser closer, ResponseWriter writer,
             Consumer<InboundConnection> readBuffered) {
         this.loop = loop;
         this.invariants = invariants;
         this.handler = handler;
         this.reservations = reservations;
-        this.input = input;
+        this.readControl = readControl;
         this.admission = admission;
         this.connections = connections;
-        this.sweep = sweep;
+        this.sweeper = sweeper;
         this.closer = closer;
         this.writer = writer;
         this.readBuffered = readBuffered;
     }
 
-    /** A whole request was read: it is handled now, or after those before it. */
-    void enqueue(InboundConnection c, InboundRequest request) {
-        if (c.isClosing()) {
+    /** Handles a complete request now, or after the requests before it. */
+    void enqueue(InboundConnection connection, InboundRequest request) {
+        if (connection.isClosing()) {
             reservations.release(request);
             return;
         }
-        if (admission.exceedsClientLimit(c, request.path())) {
+        if (admission.exceedsClientLimit(connection, request.path())) {
             reservations.release(request);
-            admission.reject(c, request.headers().kind());
+            admission.reject(connection, request.headers().kind());
             return;
         }
-        c.lastUsedUs = loop.nowUs();
-        c.requestReceived = true;
-        if (c.currentRequest != null) {
-            c.pipelined.add(request);
+        connection.lastUsedUs = loop.nowUs();
+        connection.requestReceived = true;
+        if (connection.currentRequest != null) {
+            connection.pipelined.add(request);
             return;
         }
-        handle(c, request);
+        handle(connection, request);
     }
 
-    private void handle(InboundConnection c, InboundRequest request) {
-        c.currentRequest = request;
-        connections.markUsed(c);
-        handler.handle(c, request);
+    private void handle(InboundConnection connection, InboundRequest request) {
+        connection.currentRequest = request;
+        connections.markUsed(connection);
+        handler.handle(connection, request);
     }
 
-    /** Answers the request under way; retryAfter may be null. */
-    void respond(InboundConnection c, int status, String retryAfter, byte[] body) {
-        InboundRequest request = c.currentRequest;
+    /** Sends the response to the current request; retryAfter may be null. */
+    void respond(InboundConnection connection, int status, String retryAfter, byte[] body) {
+        InboundRequest request = connection.currentRequest;
         if (!invariants.check(request != null, "answer without a request")) {
             return;
         }
-        c.onDisconnect = null;
-        if (c.isClosing()) {
+        connection.onDisconnect = null;
+        if (connection.isClosing()) {
             return;
         }
-        countBadRequests(c, status);
-        boolean last = isFinalResponse(c, request);
+        countBadRequests(connection, status);
+        boolean isFinal = isFinalResponse(connection, request);
         MessageBuilder head = writer.head(status, body.length, retryAfter);
-        if (last) {
-            closer.beginFinalResponse(c);
+        if (isFinal) {
+            closer.beginFinalResponse(connection);
             head.header("Connection", "close");
         } else if (request.http10()) {
             head.header("Connection", "keep-alive");
         }
-        writer.write(c, head, body, () -> responseWritten(c, last));
+        writer.write(connection, head, body, () -> responseWritten(connection, isFinal));
     }
 
     /**
-     * Whether the connection ends with this answer. While new connections wait in the kernel, workers' connections take turns:
-     * the call-backs among those that wait end jobs. Requests that a client sent ahead were accepted, and are answered first.
+     * Whether the connection ends with this response. While new connections wait in the kernel's backlog, callback
+     * connections are closed after each response: some of those waiting may carry callbacks that end jobs. Pipelined
+     * requests were accepted and get their responses first.
      */
-    private boolean isFinalResponse(InboundConnection c, InboundRequest request) {
-        return !request.keepAlive() || (c.carriesCallbacks ? connections.isDescriptorLimitReached() : sweep.isDraining() && c.hasNoPipelinedInput());
+    private boolean isFinalResponse(InboundConnection connection, InboundRequest request) {
+        return !request.keepAlive()
+            || (connection.carriesCallbacks ? connections.isDescriptorLimitReached() : sweeper.isDraining() && connection.hasNoPipelinedInput());
     }
 
-    private void countBadRequests(InboundConnection c, int status) {
+    private void countBadRequests(InboundConnection connection, int status) {
         boolean bad = status >= HttpStatus.BAD_REQUEST && status != HttpStatus.TOO_MANY_REQUESTS && status < HttpStatus.INTERNAL_SERVER_ERROR;
-        c.consecutiveBadRequests = bad ? c.consecutiveBadRequests + 1 : 0;
-        if (c.consecutiveBadRequests > MAX_BAD_REQUESTS && !c.throttled) {
-            throttle(c);
+        connection.consecutiveBadRequests = bad ? connection.consecutiveBadRequests + 1 : 0;
+        if (connection.consecutiveBadRequests > MAX_BAD_REQUESTS && !connection.throttled) {
+            throttle(connection);
         }
     }
 
-    private void throttle(InboundConnection c) {
-        c.throttled = true;
-        input.updateReading(c);
+    private void throttle(InboundConnection connection) {
+        connection.throttled = true;
+        readControl.updateReading(connection);
         loop.schedule(THROTTLE_US, () -> {
-            c.throttled = false;
-            readBuffered.accept(c);
-            input.updateReading(c);
+            connection.throttled = false;
+            readBuffered.accept(connection);
+            readControl.updateReading(connection);
         });
     }
 
-    private void responseWritten(InboundConnection c, boolean last) {
-        c.currentRequest = null;
-        c.lastUsedUs = loop.nowUs();
-        if (last) {
-            closer.close(c, CloseReason.LAST_ANSWER);
-        } else if (!c.pipelined.isEmpty()) {
-            handle(c, c.pipelined.poll());
-            readBuffered.accept(c);
-        } else if (c.errorStatus != 0 && !c.isClosing()) {
-            closer.closeWithError(c);
+    private void responseWritten(InboundConnection connection, boolean isFinal) {
+        connection.currentRequest = null;
+        connection.lastUsedUs = loop.nowUs();
+        if (isFinal) {
+            closer.close(connection, CloseReason.LAST_ANSWER);
+        } else if (!connection.pipelined.isEmpty()) {
+            handle(connection, connection.pipelined.poll());
+            readBuffered.accept(connection);
+        } else if (connection.errorStatus != 0 && !connection.isClosing()) {
+            closer.closeWithError(connection);
         }
     }
 
     /** Drops the requests of a closed connection that were not handled yet. */
-    void discardPending(InboundConnection c) {
-        c.pipelined.forEach(reservations::release);
-        c.pipelined.clear();
+    void discardPending(InboundConnection connection) {
+        connection.pipelined.forEach(reservations::release);
+        connection.pipelined.clear();
     }
 }
--- a/node/src/main/java/hookweir/net/upgrade/PeerConnection.java
+++ b/node/src/main/java/hookweir/net/upgrade/PeerConnection.java
@@ -13,25 +13,28 @@
 import java.util.function.Consumer;
 
 /**
- * One connection between two processes of a scheduler: frames of a length, a kind, a number and bytes. Two threads of
- * its own read and write, so that a neighbour that hangs blocks neither the loop nor the selector; all else belongs to
- * the loop.
+ * A connection between two processes of one scheduler. It carries frames, each with a length, a kind, a number and a
+ * payload. Two dedicated threads read and write, so that a peer that hangs blocks neither the loop nor the selector;
+ * everything else belongs to the loop.
  */
 public final class PeerConnection {
+    /** The sender serves clients from now on. */
     static final int SERVING_FRAME = 1;
+    /** A worker's callback that the sender does not know; the receiver sends a verdict with the same number. */
     static final int CALLBACK_FRAME = 2;
+    /** Whether the callback with this number was for a known job: one byte, 1 for yes. */
     static final int VERDICT_FRAME = 3;
     private static final int HEADER_BYTES = 9;
-    /** Frames that wait to be written; a neighbour that reads none of so many is given up. */
+    /** Maximum number of frames queued for writing. A peer that lets the queue fill up is disconnected. */
     private static final int MAX_QUEUED_FRAMES = 256;
 
-    /** Takes frames, on the loop. */
+    /** Receives frames, on the loop. */
     interface FrameListener {
         void frameReceived(PeerConnection from, int kind, int number, byte[] bytes);
     }
 
     final boolean predecessor;
-    /** The neighbour takes clients. */
+    /** Whether the peer process serves clients. */
     boolean serving;
     private final SocketChannel channel;
     private final Loop loop;
@@ -47,8 +50,8 @@
         this.loop = loop;
         this.listener = listener;
         this.onLost = onLost;
-        startThread("neighbour reader", this::read);
-        startThread("neighbour writer", this::write);
+        startThread("peer reader", this::read);
+        startThread("peer writer", this::write);
     }
 
     private interface IoTask {
@@ -75,7 +78,7 @@
             int kind = header.get();
             int number = header.getInt();
             if (length < 0 || length > Transport.MAX_BODY_BYTES) {
-                throw new IOException("a frame of " + length + " bytes");
+                throw new IOException("invalid frame length: " + length);
             }
             ByteBuffer bytes = ByteBuffer.allocate(length);
             readFully(bytes);
@@ -108,14 +111,17 @@
         }
     }
 
-    /** Asks whether a call-back is the neighbour's; told once, by {@link #completeVerdict} or when the wire is down. */
+    /**
+     * Asks the peer whether a callback is for one of its jobs. The verdict arrives once, by {@link #completeVerdict}, or as
+     * false when the connection is closed.
+     */
     int forwardCallback(byte[] callback, Consumer<Boolean> onVerdict) {
         pendingVerdicts.put(++lastCallbackNumber, onVerdict);
         send(CALLBACK_FRAME, lastCallbackNumber, callback);
         return lastCallbackNumber;
     }
 
-    /** The verdict on what was asked; any but the first is passed over. */
+    /** Delivers the verdict on a forwarded callback; later ones for the same number are ignored. */
     void completeVerdict(int number, boolean known) {
         Consumer<Boolean> onVerdict = pendingVerdicts.remove(number);
         if (onVerdict != null) {
@@ -123,12 +129,12 @@
         }
     }
 
-    /** Ends it; whoever waits for a verdict hears no. */
+    /** Closes the connection; all pending verdicts become false. */
     void close() {
         try {
-            channel.close(); // the reader ends by it, and the writer with its next frame
+            channel.close(); // ends the reader now, and the writer at its next frame
         } catch (IOException e) {
-            hookweir.net.Log.line("closing a neighbour: " + e.getMessage());
+            hookweir.net.Log.line("failed to close a peer connection: " + e.getMessage());
         }
         outgoing.offer(ByteBuffer.allocate(1));
         Map<Integer, Consumer<Boolean>> unanswered = new HashMap<>(pendingVerdicts);
--- a/node/src/main/java/hookweir/net/upgrade/PeerProcesses.java
+++ b/node/src/main/java/hookweir/net/upgrade/PeerProcesses.java
@@ -15,22 +15,26 @@
 import java.util.function.Consumer;
 
 /**
- * Two processes of one scheduler side by side: the one that serves and the one that will. They share the clients'
- * listening socket, so either may be called back about the other's jobs; such calls go over a Unix-domain socket whose
- * name both know. Owns that name and the {@link PeerConnection}s to the neighbours; all state belongs to the loop. Chains of more
- * than two are passed along from wire to wire, never back the way they came, so no call goes round.
+ * The other processes of this scheduler during an upgrade, when an old process and its successor run side by side. They
+ * share the listening socket, so a worker's callback may reach the process that does not hold the job; it is then forwarded
+ * over a Unix-domain socket whose path both processes know. Owns that path and the {@link PeerConnection}s; all state
+ * belongs to the loop. With more than two processes a callback is forwarded along the chain, never back to where it came
+ * from, so it cannot loop.
  */
 public final class PeerProcesses {
-    /** Told on the loop. */
+    /** Receives peer events, on the loop. */
     public interface Listener {
-        /** A neighbour came, serves or went. */
+        /** A peer process connected, started serving or disconnected. */
         void peersChanged();
 
-        /** A neighbour got a call-back that is not its own; the verdict says whether it was known here. */
+        /**
+         * A peer process forwarded a callback that is not for one of its jobs. The verdict says whether the job is known
+         * here.
+         */
         void callbackForwarded(byte[] callback, PeerConnection from, Consumer<Boolean> verdict);
     }
 
-    /** A neighbour that says nothing holds up a call-back's answer for so long. */
+    /** How long a peer that does not respond may delay the response to a callback. */
     private static final long VERDICT_TIMEOUT_US = 1_000_000;
 
     private final Loop loop;
@@ -40,7 +44,11 @@
     private final List<PeerConnection> peers = new ArrayList<>();
     private ServerSocketChannel serverSocket;
 
-    /** Meets others under this name; null where there can be none. */
+    /**
+     * Creates the peer handling of one process.
+     *
+     * @param socketPath where the processes of this scheduler meet, or null if there can be no other process
+     */
     public PeerProcesses(Loop loop, Invariants invariants, Path socketPath, Listener listener) {
         this.loop = loop;
         this.invariants = invariants;
@@ -48,7 +56,10 @@
         this.listener = listener;
     }
 
-    /** Looks for a process that serves already; true if there is one. A name that nobody answers to is left over. */
+    /**
+     * Connects to a process that serves already; returns whether there is one. A path that nobody listens on is left over
+     * from an earlier process.
+     */
     public boolean connectToPredecessor() {
         if (socketPath == null || !Files.exists(socketPath)) {
             return false;
@@ -66,7 +77,7 @@
         return true;
     }
 
-    /** This process serves from now on: the one before it is told, the next one will find this one by the name. */
+    /** Announces that this process serves: notifies the peers, and binds the socket path so that its successor can connect. */
     public void announceServing() {
         for (PeerConnection peer : peers) {
             peer.send(PeerConnection.SERVING_FRAME, 0, new byte[0]);
@@ -88,12 +99,12 @@
             thread.setDaemon(true);
             thread.start();
         } catch (IOException e) {
-            // An upgrade then costs the jobs whose call-backs come to the wrong process, but serving goes on.
+            // Serving continues. During an upgrade, jobs whose callbacks reach the wrong process would be lost.
             Log.line("no successor can find this process by " + socketPath + ": " + e.getMessage());
         }
     }
 
-    /** On a thread of its own, as Grizzly's transport knows Internet addresses only. */
+    /** Runs on its own thread, as Grizzly's transport supports only Internet addresses. */
     private void acceptPeers(ServerSocketChannel listeningSocket) {
         try {
             while (true) {
@@ -118,7 +129,8 @@
                 Log.line("the process that follows serves");
                 listener.peersChanged();
             }
-            case PeerConnection.CALLBACK_FRAME -> listener.callbackForwarded(bytes, from, known -> from.send(PeerConnection.VERDICT_FRAME, number, new byte[] {(byte) (known ? 1 : 0)}));
+            case PeerConnection.CALLBACK_FRAME -> listener.callbackForwarded(bytes, from,
+                known -> from.send(PeerConnection.VERDICT_FRAME, number, new byte[] {(byte) (known ? 1 : 0)}));
             case PeerConnection.VERDICT_FRAME -> from.completeVerdict(number, bytes.length == 1 && bytes[0] == 1);
             default -> invariants.count("upgrade message of unknown kind");
         }
@@ -128,25 +140,25 @@
         if (!peers.remove(peer)) {
             return;
         }
-        Log.line(peer.predecessor ? "the process before this one is gone" : "the process that followed is gone");
+        Log.line(peer.predecessor ? "lost the connection to the process before this one" : "lost the connection to the process that followed");
         peer.close();
         if (!peer.predecessor && peer.serving) {
-            bindSocket(); // it had taken the name, and the next one must find this process
+            bindSocket(); // the successor had bound the path; later processes must find this one again
         }
         listener.peersChanged();
     }
 
-    /** Other processes of this scheduler. */
+    /** The number of connected processes of this scheduler, not counting this one. */
     public int peerCount() {
         return peers.size();
     }
 
-    /** A later process serves. */
+    /** Whether a later process serves. */
     public boolean hasServingSuccessor() {
-        return peers.stream().anyMatch(w -> !w.predecessor && w.serving);
+        return peers.stream().anyMatch(peer -> !peer.predecessor && peer.serving);
     }
 
-    /** Passes a call-back that is not known here to the neighbours; null or the wire that it came from is left out. */
+    /** Forwards a callback for an unknown job to all peers except the one it came from, which may be null. */
     public void forwardCallback(byte[] callback, PeerConnection source, Consumer<Boolean> verdict) {
         List<PeerConnection> recipients = peers.stream().filter(peer -> peer != source).toList();
         if (recipients.isEmpty()) {
@@ -160,7 +172,7 @@
         }
     }
 
-    /** Waits for all verdicts, or for the first that says yes. */
+    /** Waits for all verdicts, or for the first positive one. */
     private static final class VerdictCollector {
         private int remaining;
         private Consumer<Boolean> verdict;
@@ -180,7 +192,7 @@
         }
     }
 
-    /** Ends all wires; the name is left for whoever has it. */
+    /** Closes all connections. The socket path is left in place, as another process may have bound it. */
     public void close() {
         closeQuietly(serverSocket);
         new ArrayList<>(peers).forEach(PeerConnection::close);
@@ -192,7 +204,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            Log.line("closing " + channel + ": " + e.getMessage());
+            Log.line("failed to close " + channel + ": " + e.getMessage());
         }
     }
 }
--- a/node/src/test/java/hookweir/DeployTest.java
+++ b/node/src/test/java/hookweir/DeployTest.java
@@ -65,7 +65,7 @@
                     assertFalse(text.contains(call), f + " uses " + call);
                 }
                 boolean unix = text.contains("StandardProtocolFamily.UNIX") || text.contains("UnixDomainSocketAddress");
-                assertTrue(!unix || f.endsWith(Path.of("hookweir/net/upgrade/Succession.java")),
+                assertTrue(!unix || f.endsWith(Path.of("hookweir/net/upgrade/PeerProcesses.java")),
                     f + " opens a Unix socket outside the handover");
             }
         }
