--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.Policy;
 import hookweir.net.server.RequestDecoder;
-import hookweir.net.worker.LoadReport;
+import hookweir.net.worker.LoadReportParser;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -104,7 +104,7 @@
     }
 
     private final RequestDecoder framing = new RequestDecoder();
-    private final LoadReport reports = new LoadReport(new String[] {"inflight", "queue", "util"});
+    private final LoadReportParser reports = new LoadReportParser(new String[] {"inflight", "queue", "util"});
 
     /** A request, from its first byte to its last. */
     @Benchmark
@@ -132,6 +132,6 @@
     /** A report in a header. */
     @Benchmark
     public Object report() {
-        return reports.ofPairs("inflight=7,queue=2,util=0.61");
+        return reports.parsePairs("inflight=7,queue=2,util=0.61");
     }
 }
--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -4,7 +4,7 @@
 import hookweir.config.SettingsMapping;
 import hookweir.net.admin.Metrics;
 import hookweir.net.server.RequestParser;
-import hookweir.net.worker.LoadReport;
+import hookweir.net.worker.LoadReportParser;
 import hookweir.room.ResourceBudget;
 import java.util.List;
 
@@ -20,7 +20,7 @@
     private List<String> classNames;
     private long probeTimeoutUs;
     private RequestParser requestParser;
-    private LoadReport loadReport;
+    private LoadReportParser loadReport;
 
     ActiveSettings(ResourceBudget room, Metrics figures, SettingsMapping mapped) {
         this.budget = room;
@@ -36,7 +36,7 @@
         probeTimeoutUs = PROBE_CONNECT_TIMEOUTS * mapped.connectTimeoutUs;
         budget.setClasses(settings.classes);
         requestParser = new RequestParser(mapped.classNumbers, settings.classes, mapped.tenantNumbers);
-        loadReport = new LoadReport(mapped.reportFields);
+        loadReport = new LoadReportParser(mapped.reportFields);
     }
 
     /** The decision module's settings. */
@@ -55,7 +55,7 @@
     }
 
     /** Parses workers' load reports. */
-    LoadReport loadReport() {
+    LoadReportParser loadReport() {
         return loadReport;
     }
 
--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -2,7 +2,7 @@
 
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 import hookweir.timer.TimerWheel;
 
@@ -29,7 +29,7 @@
     final WorkerEndpoint target;
     final int number;
     private final SocketHost host;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final long startUs;
     private Stage stage = Stage.CONNECTING;
     private OutboundConnection connection;
@@ -43,7 +43,7 @@
     /** The link whose 202 may have been an earlier call's, until a call-back shows that the worker has the job. */
     private OutboundConnection ambiguousConnection;
 
-    Attempt(SocketHost host, Egress egress, PendingRequest pending, int workerId, WorkerEndpoint target, int number,
+    Attempt(SocketHost host, WorkerConnectionPool egress, PendingRequest pending, int workerId, WorkerEndpoint target, int number,
             long startUs) {
         this.host = host;
         this.egress = egress;
@@ -70,7 +70,7 @@
     }
 
     private void requestConnection() {
-        OutboundConnection got = egress.link(target, this, host.isRepeatable(request) ? MAX_BREAK_RATE_REPEATABLE : MAX_BREAK_RATE_ONCE);
+        OutboundConnection got = egress.acquire(target, this, host.isRepeatable(request) ? MAX_BREAK_RATE_REPEATABLE : MAX_BREAK_RATE_ONCE);
         if (got != null && !isEnded()) {
             connection = got;
         }
@@ -79,7 +79,7 @@
     /** Nothing of it was sent, and it may still be: else it is over. */
     @Override
     public boolean needsConnection() {
-        if (stage == Stage.CONNECTING && !target.ready()) {
+        if (stage == Stage.CONNECTING && !target.isReady()) {
             // Guards rule 3: a drain counts from a send's first byte, and the wait for a link took its time.
             isEnded(Outcome.CONNECT_FAILED, null, null);
         } else if (stage == Stage.CONNECTING && request.closed) {
@@ -124,7 +124,7 @@
         var from = request.httpRequest;
         var h = from.headers();
         long leftMs = Math.max(1, (request.request.deadlineAtUs - host.loop().nowUs()) / 1000);
-        MessageBuilder head = up.requestHead(from.method(), from.path(), from.query(), target.host())
+        MessageBuilder head = up.requestHead(from.method(), from.path(), from.query(), target.hostHeader())
             .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).endLine()
             .header("Idempotency-Key", h.idempotencyKey()).header("Content-Type", h.contentType())
             .add("Content-Length: ").add(from.body().length).endLine();
@@ -146,7 +146,7 @@
     /** A 202 may be on its way, and then closing the connection gives nothing up: the worker is told before another attempt begins. */
     private void acceptTimedOut() {
         if (stage == Stage.SENT) {
-            egress.cut(connection);
+            egress.abort(connection);
             detachConnection();
             if (host.canCancelAttempts()) {
                 cancelAtWorker(Outcome.TIMEOUT);
@@ -172,7 +172,7 @@
         boolean waiting = stage == Stage.SENDING || stage == Stage.SENT;
         if (status < MIN_REDIRECT_STATUS && status != ACCEPTED) {
             // No answer to a job: a second one to the check that this link carried before. The job's own is yet to come.
-            egress.strayed();
+            egress.countUnmatchedResponse();
             if (piece.isLast()) {
                 l.expectAnotherResponse();
             }
@@ -203,8 +203,8 @@
     private void handleResponse(OutboundConnection l, OutboundConnection.ResponsePart piece) {
         boolean refused = stage == Stage.SENDING || stage == Stage.SENT;
         ambiguousResponse = null;
-        egress.used(l, false);
-        egress.settles(target, l, piece.keepAlive());
+        egress.recordOutcome(l, false);
+        egress.releaseWithReuseDelay(target, l, piece.keepAlive());
         detachConnection();
         if (!refused) {
             return;
@@ -220,7 +220,7 @@
     @Override
     public void unexpectedResponse(OutboundConnection l, int status) {
         // The one that was held decides where the other is a 202: either may be the earlier call's.
-        egress.answeredTwice(target, l, ambiguousResponse == null ? status : ambiguousResponse.status());
+        egress.duplicateResponse(target, l, ambiguousResponse == null ? status : ambiguousResponse.status());
     }
 
     /** The 202 may have been another's and the worker may not have the job: as if the connection had broken before it. */
@@ -246,8 +246,8 @@
 
     @Override
     public void disconnected(OutboundConnection l) {
-        egress.used(l, true);
-        egress.end(l);
+        egress.recordOutcome(l, true);
+        egress.closeGracefully(l);
         detachConnection();
         if (stage == Stage.CONNECTING || stage == Stage.SENDING) {
             isEnded(Outcome.CONNECT_FAILED, null, null);
@@ -261,9 +261,9 @@
         if (ambiguousResponse != null) {
             // The worker had taken it, so the answer that is held was another's.
             OutboundConnection l = connection;
-            egress.answeredTwice(target, l, ambiguousResponse.status());
+            egress.duplicateResponse(target, l, ambiguousResponse.status());
             detachConnection();
-            egress.end(l);
+            egress.closeGracefully(l);
         } else if (connection != null && !isEnded()) {
             closeAfterTimeout(connection); // it came before the 202
         }
@@ -275,7 +275,7 @@
         startResponseTimer(LATE_RESPONSE_TIMEOUT_US, () -> {
             if (connection == kept) {
                 detachConnection();
-                egress.end(kept);
+                egress.closeGracefully(kept);
             }
         });
     }
@@ -304,7 +304,7 @@
                 isEnded(outcome, null, null);
             }
             case SENDING, SENT -> {
-                egress.cut(connection);
+                egress.abort(connection);
                 detachConnection();
                 isEnded(outcome, null, null);
             }
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 
 /** Sends attempts to workers, cancels them, and tells the decision module how each ended. Belongs to the {@link Loop}. */
@@ -15,11 +15,11 @@
     private final Invariants invariants;
     private final EventLog events;
     private final ActiveSettings active;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
 
-    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, Egress egress, PendingRequests held,
+    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, WorkerConnectionPool egress, PendingRequests held,
             Contract.Dispatcher module) {
         this.host = host;
         this.loop = loop;
@@ -41,7 +41,7 @@
         long now = loop.nowUs();
         long leftUs = request.request.deadlineAtUs - now;
         int number = request.attempts.size();
-        WorkerEndpoint worker = egress.target(workerId);
+        WorkerEndpoint worker = egress.worker(workerId);
         boolean moot = request.closed || leftUs <= 0 || number >= active.settings().maxAttempts
             || !invariants.check(active.settings().concurrentAttemptsAllowed || request.outstandingAttempt() == null, "two attempts out at once");
         Attempt attempt = new Attempt(host, egress, request, workerId, moot ? null : worker, number, now);
@@ -95,7 +95,7 @@
     /** Tells a worker that an attempt that it took is given up; runs the task once that is on its way, or can't be. */
     void notifyCancelled(Attempt attempt, Runnable after) {
         String path = "/jobs/" + attempt.request.httpRequest.headers().id();
-        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), attempt.target, "DELETE", path, Egress.ANY) {
+        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), attempt.target, "DELETE", path, WorkerConnectionPool.REUSE_ANY) {
             @Override
             void onWritten() {
                 after.run();
--- a/node/src/main/java/hookweir/net/CallbackReceiver.java
+++ b/node/src/main/java/hookweir/net/CallbackReceiver.java
@@ -74,7 +74,7 @@
             return;
         }
         attempt.confirmAcceptance();
-        Report report = active.loadReport().ofJson(callback.loadReport());
+        Report report = active.loadReport().parseJson(callback.loadReport());
         switch (callback.state()) {
             case "started" -> progress(attempt, 0);
             case "running" -> progress(attempt, callback.completedShare());
--- a/node/src/main/java/hookweir/net/HttpCall.java
+++ b/node/src/main/java/hookweir/net/HttpCall.java
@@ -1,7 +1,7 @@
 package hookweir.net;
 
 import hookweir.Contract.Outcome;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 import hookweir.timer.TimerWheel;
 import java.io.ByteArrayOutputStream;
@@ -22,7 +22,7 @@
 
     final long startUs;
     private final Loop loop;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final Invariants invariants;
     private final long timeoutUs;
     private final WorkerEndpoint worker;
@@ -40,9 +40,9 @@
      * Yet to be started.
      *
      * @param limitUs it ends by then
-     * @param links which kept links will do, as {@link Egress#link} has it
+     * @param links which kept links will do, as {@link WorkerConnectionPool#acquire} has it
      */
-    HttpCall(Loop loop, Egress egress, Invariants invariants, long limitUs, WorkerEndpoint target, String method, String path, double links) {
+    HttpCall(Loop loop, WorkerConnectionPool egress, Invariants invariants, long limitUs, WorkerEndpoint target, String method, String path, double links) {
         this.loop = loop;
         this.egress = egress;
         this.invariants = invariants;
@@ -63,13 +63,13 @@
 
     void start() {
         timeoutTimer = loop.schedule(timeoutUs, () -> finish(Outcome.TIMEOUT, null));
-        egress.link(worker, this, maxBreakRate);
+        egress.acquire(worker, this, maxBreakRate);
     }
 
     /** A probe of a worker that was announced as leaving, or one that nobody waits for any more, is not made; a notice is. */
     @Override
     public boolean needsConnection() {
-        if (!method.equals(PROBE_METHOD) || !ended && worker.ready()) {
+        if (!method.equals(PROBE_METHOD) || !ended && worker.isReady()) {
             return true;
         }
         finish(Outcome.CONNECT_FAILED, null);
@@ -96,10 +96,10 @@
             return;
         }
         stage = Stage.SENDING;
-        l.sendRequest(l.requestHead(method, path, null, worker.host()), EMPTY_BODY, this);
+        l.sendRequest(l.requestHead(method, path, null, worker.hostHeader()), EMPTY_BODY, this);
         readTimer = loop.schedule(READ_TIMEOUT_FACTOR * timeoutUs, () -> {
             finish(Outcome.TIMEOUT, null);
-            egress.end(l);
+            egress.closeGracefully(l);
         });
     }
 
@@ -113,7 +113,7 @@
     public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
         if (piece.status() == HttpStatus.ACCEPTED && method.equals(PROBE_METHOD)) {
             // No answer to a probe: a second one to the job that this link carried before.
-            egress.strayed();
+            egress.countUnmatchedResponse();
             if (piece.isLast()) {
                 l.expectAnotherResponse();
             }
@@ -125,11 +125,11 @@
         if (piece.isLast()) {
             stage = Stage.RESPONDED;
             readTimer.cancel();
-            egress.used(l, false);
+            egress.recordOutcome(l, false);
             if (piece.status() == HttpStatus.OK) {
                 egress.release(worker, l, piece.keepAlive()); // a second one would be passed over by a job
             } else {
-                egress.settles(worker, l, piece.keepAlive());
+                egress.releaseWithReuseDelay(worker, l, piece.keepAlive());
             }
             finish(piece.status() == HttpStatus.OK ? Outcome.OK : piece.declined() ? Outcome.FULL : Outcome.ERROR, piece);
         }
@@ -141,13 +141,13 @@
         if (readTimer != null) {
             readTimer.cancel();
         }
-        egress.used(l, true);
-        egress.end(l);
+        egress.recordOutcome(l, true);
+        egress.closeGracefully(l);
         if (kept && !ended) {
             // A kept link may have been closed unseen, which says nothing of the worker; an errand may be repeated.
             invariants.count("errands once more");
             stage = Stage.CONNECTING;
-            egress.link(worker, this, Egress.NONE);
+            egress.acquire(worker, this, WorkerConnectionPool.REUSE_NONE);
             return;
         }
         finish(stage == Stage.SENT ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -5,9 +5,9 @@
 import hookweir.config.SettingsMapping;
 import hookweir.membership.ListCallFailure;
 import hookweir.membership.ListLease;
-import hookweir.net.discovery.Discovery;
 import hookweir.net.discovery.ListUpdate;
-import hookweir.net.worker.Egress;
+import hookweir.net.discovery.WorkerListClient;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.timer.TimerWheel;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * connections to workers. Until {@link ListLease} has a list, the module knows of no worker and holds what comes; while
  * the lease is over, it sends nothing. Belongs to the {@link Loop}.
  */
-final class Membership implements Discovery.Listener {
+final class Membership implements WorkerListClient.Listener {
     /**
      * How long a start waits for a list service that is asked and neither answers nor refuses, in µs. A start has to be ready within
      * 6 s, of which the process itself takes 1 to 2.
@@ -32,11 +32,11 @@
     private final Loop loop;
     private final Invariants invariants;
     private final EventLog events;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final Contract.Dispatcher module;
     private final Runnable onReady;
     private final ListUpdate.Parser parser;
-    private final Discovery discovery;
+    private final WorkerListClient discovery;
     private final ListLease lease;
     private TimerWheel.Timer expiryTimer;
     /** As the module was told last. */
@@ -50,7 +50,7 @@
     /**
      * @param onReady runs once, as requests may be sent from then on
      */
-    Membership(Config config, Loop loop, Connector dialer, Invariants invariants, EventLog events, Egress egress, Contract.Dispatcher module,
+    Membership(Config config, Loop loop, Connector dialer, Invariants invariants, EventLog events, WorkerConnectionPool egress, Contract.Dispatcher module,
             Runnable onReady) {
         this.loop = loop;
         this.invariants = invariants;
@@ -61,7 +61,7 @@
         lease = new ListLease(!config.settings().policySettings.pollList);
         applySettings(config.settings());
         parser = new ListUpdate.Parser(config.settings().zoneNames, config.settings().kindNames, invariants, loop::nowUs);
-        discovery = new Discovery(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> listPushed, this);
+        discovery = new WorkerListClient(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> listPushed, this);
     }
 
     /** Takes over what the settings say of the list. */
@@ -76,7 +76,7 @@
         boolean usable = known != null && !known.entries().isEmpty();
         pendingUpdates.add(new ListUpdate(0, true, usable ? known.entries() : List.of()));
         // Where nothing is held, changes to it would be no list.
-        discovery.seeded(listPushed || !usable ? Discovery.UNKNOWN : known.version());
+        discovery.setKnownVersion(listPushed || !usable ? WorkerListClient.UNKNOWN_VERSION : known.version());
         updateLease();
         module.workerListReceived(loop.nowUs(), false, List.of());
         if (listPushed) {
@@ -94,7 +94,7 @@
         if (to.equals(discovery.address())) {
             return;
         }
-        discovery.move(to);
+        discovery.moveTo(to);
         lease.serviceMoved(loop.nowUs());
         updateLease();
     }
@@ -134,11 +134,11 @@
 
     /** Asks for the whole list once. */
     void fetch() {
-        discovery.fetch();
+        discovery.fetchWholeList();
     }
 
     @Override
-    public void listed(ListUpdate update, boolean complete) {
+    public void listReceived(ListUpdate update, boolean complete) {
         if (complete) {
             renewLease();
         }
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void listFailed(ListCallFailure failure, long startedUs) {
+    public void listCallFailed(ListCallFailure failure, long startedUs) {
         invariants.count("list calls failed " + failure);
         lease.callFailed(failure, startedUs);
         updateLease();
@@ -204,10 +204,10 @@
         for (ListUpdate.Entry entry : update.entries()) {
             workers.add(entry.worker());
             named.add(entry.worker().id);
-            egress.told(entry.worker().id, entry.name(), entry.address(), entry.worker().state);
+            egress.applyUpdate(entry.worker().id, entry.name(), entry.address(), entry.worker().state);
         }
         if (update.full()) {
-            egress.keepOnly(named);
+            egress.retainOnly(named);
         }
         module.workerListReceived(loop.nowUs(), !update.full(), workers);
     }
--- a/node/src/main/java/hookweir/net/Prober.java
+++ b/node/src/main/java/hookweir/net/Prober.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.Contract.Outcome;
 import hookweir.Contract.Report;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 
 /** Probes workers for the decision module: a health check, or a call for a load report. Belongs to the {@link Loop}. */
@@ -11,10 +11,10 @@
     private final Loop loop;
     private final Invariants invariants;
     private final ActiveSettings active;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final Contract.Dispatcher module;
 
-    Prober(Loop loop, Invariants invariants, ActiveSettings active, Egress egress, Contract.Dispatcher module) {
+    Prober(Loop loop, Invariants invariants, ActiveSettings active, WorkerConnectionPool egress, Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
         this.active = active;
@@ -24,14 +24,14 @@
 
     /** Probes a worker, and tells the module how it ended. */
     void probe(int workerId) {
-        WorkerEndpoint worker = egress.target(workerId);
+        WorkerEndpoint worker = egress.worker(workerId);
         if (worker == null) {
             loop.post(() -> module.probeEnded(loop.nowUs(), workerId, Outcome.CONNECT_FAILED, 0, null));
             return;
         }
         invariants.count("probes");
         String path = active.settings().loadReportSource == Contract.LoadReportSource.NONE ? "/healthz" : "/load";
-        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), worker, "GET", path, Egress.SETTLED) {
+        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), worker, "GET", path, WorkerConnectionPool.REUSE_SETTLED) {
             @Override
             void onEnd(Outcome outcome, OutboundConnection.ResponsePart last, byte[] body) {
                 Report report = last == null ? null : parseLoadReport(last, body);
@@ -43,6 +43,6 @@
 
     /** The load report in an answer's header or body, or null. */
     private Report parseLoadReport(OutboundConnection.ResponsePart last, byte[] body) {
-        return last.load() != null ? active.loadReport().ofPairs(last.load()) : active.loadReport().ofBody(body);
+        return last.load() != null ? active.loadReport().parsePairs(last.load()) : active.loadReport().parseBody(body);
     }
 }
--- a/node/src/main/java/hookweir/net/ProcessResources.java
+++ b/node/src/main/java/hookweir/net/ProcessResources.java
@@ -3,7 +3,7 @@
 import hookweir.config.Config;
 import hookweir.net.server.HttpServer;
 import hookweir.net.upgrade.PeerProcesses;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.room.ResourceBudget;
 
 /**
@@ -20,14 +20,14 @@
     private static final int MIN_DESCRIPTORS = 16;
 
     private final ResourceBudget budget;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final HttpServer ingress;
     private final PeerProcesses succession;
     private final int maxDescriptors;
     private long maxHeldBytes;
     private int maxHeldJobs;
 
-    ProcessResources(Config config, ResourceBudget room, Egress egress, HttpServer ingress, PeerProcesses succession) {
+    ProcessResources(Config config, ResourceBudget room, WorkerConnectionPool egress, HttpServer ingress, PeerProcesses succession) {
         this.budget = room;
         this.egress = egress;
         this.ingress = ingress;
@@ -51,7 +51,7 @@
         int processes = 1 + succession.peerCount();
         budget.setLimits(maxHeldBytes / processes, maxHeldJobs / processes);
         budget.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, maxDescriptors / processes - reservedDescriptors(processes)));
-        egress.fit();
+        egress.enforceDescriptorLimit();
         ingress.enforceDescriptorLimit();
     }
 }
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -14,7 +14,7 @@
 import hookweir.net.server.RequestHandler;
 import hookweir.net.upgrade.PeerConnection;
 import hookweir.net.upgrade.PeerProcesses;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.room.ResourceBudget;
 import java.io.IOException;
 import java.util.function.Consumer;
@@ -35,7 +35,7 @@
     private final ActiveSettings active;
     private final Contract.Dispatcher module;
     private final HttpServer ingress;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final Membership membership;
     private final PeerProcesses succession;
     private final ProcessResources resources;
@@ -60,7 +60,7 @@
         active = new ActiveSettings(budget, figures, config.settings());
         Connector dialer = new Connector(loop, transport);
         ingress = new HttpServer(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
-        egress = new Egress(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::connectionCount);
+        egress = new WorkerConnectionPool(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::connectionCount);
         module = new Policy(active.settings(), config.seed(), this);
         membership = new Membership(config, loop, dialer, invariants, events, egress, module, this::ready);
         succession = new PeerProcesses(loop, invariants, config.handoverSocketPath(), new PeerListener());
@@ -78,7 +78,7 @@
 
     /** Links to workers; the ingress asks before there are any. */
     private int outboundConnections() {
-        return egress == null ? 0 : egress.size();
+        return egress == null ? 0 : egress.connectionCount();
     }
 
     /** Passes requests to the router, which can't be made before the ingress that answers them. */
@@ -164,7 +164,7 @@
         active.apply(next.settings());
         resources.setLimits(next);
         resources.update();
-        egress.limits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
+        egress.setLimits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
         membership.applySettings(next.settings());
         module.settingsChanged(loop.nowUs(), active.settings());
         membership.moveTo(next.listServiceAddress());
@@ -203,7 +203,7 @@
 
     /** A report from an answer's header, or null. */
     Report parseLoadReport(String header) {
-        return active.loadReport().ofPairs(header);
+        return active.loadReport().parsePairs(header);
     }
 
     /** A second attempt at it would do no harm. */
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -3,7 +3,7 @@
 import hookweir.Contract;
 import hookweir.net.admin.Metrics;
 import hookweir.net.server.HttpServer;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.room.ResourceBudget;
 
 /** Reports at intervals what the process holds: to the log, and to operators' figures. Belongs to the {@link Loop}. */
@@ -17,12 +17,12 @@
     private final Metrics figures;
     private final ResourceBudget budget;
     private final HttpServer ingress;
-    private final Egress egress;
+    private final WorkerConnectionPool egress;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Metrics figures, ResourceBudget room, HttpServer ingress, Egress egress, PendingRequests held,
+    StatusReporter(Loop loop, Invariants invariants, Metrics figures, ResourceBudget room, HttpServer ingress, WorkerConnectionPool egress, PendingRequests held,
             Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
@@ -42,7 +42,7 @@
     }
 
     private void logRegularly() {
-        Log.line("held=" + pending.size() + " ingress=" + ingress.connectionCount() + " egress=" + egress.size() + " bytes=" + budget.heldBytes()
+        Log.line("held=" + pending.size() + " ingress=" + ingress.connectionCount() + " egress=" + egress.connectionCount() + " bytes=" + budget.heldBytes()
             + " timers=" + loop.timerCount() + " " + invariants);
         loop.schedule(LOG_INTERVAL_US, this::logRegularly);
     }
@@ -56,6 +56,6 @@
     void publish() {
         figures.setHeld(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
         figures.setListLease(membership.leaseRemainingUs() / US_PER_MS);
-        figures.setWorkers(egress.targets(), module.excludedWorkerCount(loop.nowUs()));
+        figures.setWorkers(egress.workerCount(), module.excludedWorkerCount(loop.nowUs()));
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/Lines.java
+++ b/node/src/main/java/hookweir/net/discovery/LineSplitter.java
@@ -10,34 +10,34 @@
  * the next line; an empty line, or one on which another object begins as a list does, shows that it was cut instead, and what
  * there is of it goes to the sink. A line over the limit is dropped and reported as null.
  */
-public final class Lines {
-    private static final byte[] BEGIN = "{\"version\"".getBytes(StandardCharsets.US_ASCII);
+public final class LineSplitter {
+    private static final byte[] LIST_OBJECT_START = "{\"version\"".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] CR = {'\r'};
 
-    private final int mostBytes;
+    private final int maxBytes;
     private final Consumer<byte[]> sink;
-    private Bytes line = new Bytes();
+    private LineBuffer line = new LineBuffer();
     /** Bytes of it that are ended lines of an open object. */
-    private int open;
+    private int openObjectBytes;
     private int depth;
     private boolean inString;
     private boolean escaped;
     private boolean tooLong;
 
     /** Bytes that can be looked at in place. */
-    private static final class Bytes extends ByteArrayOutputStream {
-        boolean has(byte[] what, int at) {
+    private static final class LineBuffer extends ByteArrayOutputStream {
+        boolean containsAt(byte[] what, int at) {
             return Arrays.equals(buf, at, Math.min(count, at + what.length), what, 0, what.length);
         }
 
-        void cut(int to) {
+        void truncate(int to) {
             count = to;
         }
     }
 
     /** Lines of at most so many bytes go to the sink. */
-    public Lines(int mostBytes, Consumer<byte[]> sink) {
-        this.mostBytes = mostBytes;
+    public LineSplitter(int mostBytes, Consumer<byte[]> sink) {
+        this.maxBytes = mostBytes;
         this.sink = sink;
     }
 
@@ -45,17 +45,17 @@
     public void feed(byte[] chunk) {
         for (byte b : chunk) {
             if (b == '\n') {
-                lineEnd();
-            } else if (line.size() < mostBytes) {
+                endLine();
+            } else if (line.size() < maxBytes) {
                 line.write(b);
-                look(b);
+                trackNesting(b);
             } else {
                 tooLong = true;
             }
         }
     }
 
-    private void look(byte b) {
+    private void trackNesting(byte b) {
         if (inString) {
             inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
@@ -66,37 +66,37 @@
         } else if (b == '}' && depth > 0) {
             depth--;
         }
-        if (open > 0 && line.size() - open == BEGIN.length && line.has(BEGIN, open)) {
-            emitCut();
-            line.writeBytes(BEGIN);
+        if (openObjectBytes > 0 && line.size() - openObjectBytes == LIST_OBJECT_START.length && line.containsAt(LIST_OBJECT_START, openObjectBytes)) {
+            emitTruncated();
+            line.writeBytes(LIST_OBJECT_START);
             depth = 1;
         }
     }
 
-    private void lineEnd() {
-        boolean empty = line.size() == open || line.size() == open + 1 && line.has(CR, open);
-        if (depth > 0 && !inString && !tooLong && !(empty && open > 0)) {
-            open = line.size();
+    private void endLine() {
+        boolean empty = line.size() == openObjectBytes || line.size() == openObjectBytes + 1 && line.containsAt(CR, openObjectBytes);
+        if (depth > 0 && !inString && !tooLong && !(empty && openObjectBytes > 0)) {
+            openObjectBytes = line.size();
             return;
         }
-        if (empty && open > 0) {
-            emitCut();
+        if (empty && openObjectBytes > 0) {
+            emitTruncated();
         }
         emit();
     }
 
     /** The open object was cut: it goes to the sink without the present line. */
-    private void emitCut() {
-        line.cut(open);
+    private void emitTruncated() {
+        line.truncate(openObjectBytes);
         emit();
     }
 
     private void emit() {
         byte[] whole = line.toByteArray();
-        line = new Bytes();
+        line = new LineBuffer();
         boolean dropped = tooLong;
         tooLong = false;
-        open = 0;
+        openObjectBytes = 0;
         depth = 0;
         inString = false;
         escaped = false;
--- a/node/src/main/java/hookweir/net/discovery/ListUpdate.java
+++ b/node/src/main/java/hookweir/net/discovery/ListUpdate.java
@@ -30,12 +30,12 @@
     public static final class Parser {
         private static final ObjectMapper JSON = new ObjectMapper();
         /** Clocks of one fleet differ by less. */
-        private static final long AHEAD_US = 1_000_000;
+        private static final long MAX_CLOCK_SKEW_US = 1_000_000;
 
-        private final Names zones;
-        private final Names kinds;
+        private final NameNumbers zones;
+        private final NameNumbers kinds;
         private final WorkerIds ids = new WorkerIds();
-        private final Complaints complaints;
+        private final ListErrorLog errorLog;
         private final LongSupplier nowUs;
 
         /**
@@ -45,18 +45,18 @@
          */
         public Parser(String[] zones, String[] kinds, Invariants invariants, LongSupplier nowUs) {
             this.nowUs = nowUs;
-            this.zones = new Names(zones);
-            this.kinds = new Names(kinds);
-            complaints = new Complaints(invariants);
+            this.zones = new NameNumbers(zones);
+            this.kinds = new NameNumbers(kinds);
+            errorLog = new ListErrorLog(invariants);
         }
 
         /** Workers numbered now: those listed, by the last whole list and the changes since. */
-        public int size() {
+        public int workerCount() {
             return ids.size();
         }
 
-        Complaints complaints() {
-            return complaints;
+        ListErrorLog errorLog() {
+            return errorLog;
         }
 
         /** Parses one line; null, and a count, where it is no such object. */
@@ -64,7 +64,7 @@
             try {
                 return parse(JSON.readTree(line));
             } catch (IOException e) {
-                complaints.about("discovery bad line", new String(line, StandardCharsets.ISO_8859_1), "is no JSON");
+                errorLog.report("discovery bad line", new String(line, StandardCharsets.ISO_8859_1), "is no JSON");
                 return null;
             }
         }
@@ -75,14 +75,14 @@
          */
         public ListUpdate parse(JsonNode o) {
             if (o == null || !o.path("version").isIntegralNumber() || !o.path("servers").isArray()) {
-                complaints.about("discovery bad line", String.valueOf(o), "lacks a whole 'version' or a list 'servers'");
+                errorLog.report("discovery bad line", String.valueOf(o), "lacks a whole 'version' or a list 'servers'");
                 return null;
             }
             Map<String, Entry> byName = new LinkedHashMap<>();
             for (JsonNode one : o.get("servers")) {
-                Entry e = entry(one);
+                Entry e = parseEntry(one);
                 if (e != null && byName.remove(e.name()) != null) {
-                    complaints.about("discovery entry twice", e.name(), "is listed twice in one object; the later holds");
+                    errorLog.report("discovery entry twice", e.name(), "is listed twice in one object; the later holds");
                 }
                 if (e != null) {
                     byName.put(e.name(), e);
@@ -90,20 +90,20 @@
             }
             List<Entry> entries = List.copyOf(byName.values());
             if (entries.isEmpty() && !o.get("servers").isEmpty()) {
-                complaints.about("discovery bad line", "version " + o.get("version").asLong(), "has no entry that can be read");
+                errorLog.report("discovery bad line", "version " + o.get("version").asLong(), "has no entry that can be read");
                 return null;
             }
             boolean full = o.path("full").asBoolean(false);
             if (full) {
-                ids.keepOnly(entries.stream().filter(e -> e.worker().state != WorkerState.GONE).map(Entry::name)
+                ids.retainOnly(entries.stream().filter(e -> e.worker().state != WorkerState.GONE).map(Entry::name)
                     .collect(java.util.stream.Collectors.toSet()));
             }
-            entries.stream().filter(e -> e.worker().state == WorkerState.GONE).forEach(e -> ids.forget(e.name()));
+            entries.stream().filter(e -> e.worker().state == WorkerState.GONE).forEach(e -> ids.remove(e.name()));
             return new ListUpdate(o.get("version").asLong(), full, entries);
         }
 
         /** Null, and a complaint, where the entry can't be used. */
-        private Entry entry(JsonNode one) {
+        private Entry parseEntry(JsonNode one) {
             String text = one.path("state").asText();
             WorkerState state = switch (text) {
                 case "SERVING" -> WorkerState.READY;
@@ -116,18 +116,18 @@
             String fault = name.isEmpty() ? "has no 'id'" : state == null ? "has the unknown 'state' '" + text + "'"
                 : address == null && state != WorkerState.GONE ? "has no 'addr' of the form ADDRESS:PORT" : null;
             if (fault != null) {
-                complaints.about("discovery bad entry", one.toString(), fault);
+                errorLog.report("discovery bad entry", one.toString(), fault);
                 return null;
             }
             Worker w = new Worker();
-            w.id = ids.number(name);
+            w.id = ids.idOf(name);
             w.state = state;
             w.startedAtUs = Math.max(0, one.path("started_ms").asLong(0)) * 1000;
-            if (w.startedAtUs > nowUs.getAsLong() + AHEAD_US) {
-                complaints.about("discovery start ahead", name, "has 'started_ms' " + w.startedAtUs / 1000 + ", which is yet to come; now holds");
+            if (w.startedAtUs > nowUs.getAsLong() + MAX_CLOCK_SKEW_US) {
+                errorLog.report("discovery start ahead", name, "has 'started_ms' " + w.startedAtUs / 1000 + ", which is yet to come; now holds");
             }
-            w.zone = zones.number(one.path("zone").asText());
-            w.kind = kinds.number(one.path("kind").asText());
+            w.zone = zones.numberOf(one.path("zone").asText());
+            w.kind = kinds.numberOf(one.path("kind").asText());
             w.cell = one.path("cell").asInt(0);
             w.size = one.path("weight").asDouble(1);
             return new Entry(name, address, w);
--- a/node/src/main/java/hookweir/net/discovery/Names.java
+++ b/node/src/main/java/hookweir/net/discovery/NameNumbers.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /** Numbers of names: their places in the settings; a name that these lack gets the next number. */
-final class Names {
+final class NameNumbers {
     private final Map<String, Integer> numbers = new HashMap<>();
 
-    Names(String[] names) {
+    NameNumbers(String[] names) {
         for (String name : names) {
             numbers.putIfAbsent(name, numbers.size());
         }
     }
 
-    int number(String name) {
+    int numberOf(String name) {
         return numbers.computeIfAbsent(ConfigReader.toWireToken(name), k -> numbers.size());
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/WorkerIds.java
+++ b/node/src/main/java/hookweir/net/discovery/WorkerIds.java
@@ -10,11 +10,11 @@
  * days of replaced workers don't fill the heap. One that comes back is numbered anew, by the same digits.
  */
 final class WorkerIds {
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private final Map<String, Integer> ids = new HashMap<>();
     private final Map<Integer, String> names = new HashMap<>();
 
-    int number(String name) {
-        Integer known = numbers.get(name);
+    int idOf(String name) {
+        Integer known = ids.get(name);
         if (known != null) {
             return known;
         }
@@ -28,26 +28,26 @@
             n++; // two names of one number: the later one moves on
         }
         names.put(n, name);
-        numbers.put(name, n);
+        ids.put(name, n);
         return n;
     }
 
     /** A worker that is gone: its number is free again once its deletion has been told. */
-    void forget(String name) {
-        Integer n = numbers.remove(name);
+    void remove(String name) {
+        Integer n = ids.remove(name);
         if (n != null) {
             names.remove(n);
         }
     }
 
     /** After a whole list: all but the listed are gone. */
-    void keepOnly(Set<String> listed) {
-        numbers.keySet().removeIf(name -> !listed.contains(name));
+    void retainOnly(Set<String> listed) {
+        ids.keySet().removeIf(name -> !listed.contains(name));
         names.values().removeIf(name -> !listed.contains(name));
     }
 
     /** Workers numbered now. */
     int size() {
-        return numbers.size();
+        return ids.size();
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/Discovery.java
+++ b/node/src/main/java/hookweir/net/discovery/WorkerListClient.java
@@ -15,7 +15,7 @@
 import java.util.function.BooleanSupplier;
 
 /** The list's side: one watch at most, and single fetches, each on a link of its own. Belongs to the loop. */
-public final class Discovery {
+public final class WorkerListClient {
     /** Told of what discovery says, on the loop. */
     public interface Listener {
         /**
@@ -23,55 +23,55 @@
          *
          * @param complete nothing before it was missed; else the whole list has been asked for and is yet to come
          */
-        void listed(ListUpdate update, boolean complete);
+        void listReceived(ListUpdate update, boolean complete);
 
         /** The list as held is the present one. */
         void upToDate();
 
         /** A call that was begun then failed, or the watch ended. */
-        void listFailed(ListCallFailure failure, long startedUs);
+        void listCallFailed(ListCallFailure failure, long startedUs);
     }
 
-    private static final long DIAL_US = 1_000_000;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
     /**
      * A call that is not answered by then is made again: all that is listed counts as told some seconds later. Services give up
      * calls that wait for 1 to 2 s; one that is given up here before that still takes its turn there, for nobody.
      */
-    private static final long ANSWER_US = 2_200_000;
+    private static final long RESPONSE_TIMEOUT_US = 2_200_000;
     /** An agent on this machine answers at once or is silent; what it hears at its return counts as told at once. */
-    private static final long AGENT_ANSWER_US = 100_000;
+    private static final long AGENT_RESPONSE_TIMEOUT_US = 100_000;
     /** An empty line comes every 2 s. What a silent watch misses counts as told 6 s later, which has to do for two tries. */
-    private static final long SILENCE_US = 2_600_000;
+    private static final long WATCH_SILENCE_TIMEOUT_US = 2_600_000;
     /** No list is held: the whole one is asked for. */
-    public static final long UNKNOWN = -1;
+    public static final long UNKNOWN_VERSION = -1;
     /** The list service has too many callers, or nothing to say yet: it may have news all the same. */
-    private static final int BUSY = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     /** A call that waited in the list service's queue for a while was not refused, however it ended. */
-    private static final long REFUSED_WITHIN_US = 200_000;
-    private static final long MS = 1_000;
-    private static final int MOST_LINE_BYTES = 4 * 1024 * 1024;
+    private static final long REFUSAL_WINDOW_US = 200_000;
+    private static final long US_PER_MS = 1_000;
+    private static final int MAX_LINE_BYTES = 4 * 1024 * 1024;
 
     private final Loop loop;
-    private final Connector dialer;
+    private final Connector connector;
     private final ListUpdate.Parser parser;
     private final Invariants invariants;
     private final EventLog events;
     private final Listener listener;
     /** Lists are pushed: the address is that of an agent. */
-    private final BooleanSupplier pushed;
-    private final Set<Call> fetches = new HashSet<>();
+    private final BooleanSupplier listPushed;
+    private final Set<ListCall> fetches = new HashSet<>();
     private InetSocketAddress address;
-    private Call watch;
+    private ListCall watch;
     /** Of the list as held, by the present address's count; unknown until it has sent a whole list. */
-    private long version = UNKNOWN;
+    private long version = UNKNOWN_VERSION;
     /** A line of the watch could not be read: what it told is yet to be asked for. */
-    private boolean missed;
+    private boolean missedUpdate;
 
-    public Discovery(Loop loop, Connector dialer, InetSocketAddress address, ListUpdate.Parser parser,
+    public WorkerListClient(Loop loop, Connector dialer, InetSocketAddress address, ListUpdate.Parser parser,
             Invariants invariants, EventLog events, BooleanSupplier pushed, Listener listener) {
-        this.pushed = pushed;
+        this.listPushed = pushed;
         this.loop = loop;
-        this.dialer = dialer;
+        this.connector = dialer;
         this.address = address;
         this.parser = parser;
         this.invariants = invariants;
@@ -80,7 +80,7 @@
     }
 
     /** The list as it was last held. */
-    public void seeded(long knownVersion) {
+    public void setKnownVersion(long knownVersion) {
         version = knownVersion;
     }
 
@@ -88,13 +88,13 @@
      * Goes over to another address, if it is one, whatever the old one may still say. The list as held stands until the new one
      * has sent a whole one; versions may be counted differently there.
      */
-    public void move(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        version = UNKNOWN;
-        new ArrayList<>(fetches).forEach(Call::stop);
+        version = UNKNOWN_VERSION;
+        new ArrayList<>(fetches).forEach(ListCall::stop);
         watch(true);
     }
 
@@ -109,10 +109,10 @@
             watch.stop();
             watch = null;
         }
-        if (on && version == UNKNOWN) {
-            watch = new Call(null, true);
+        if (on && version == UNKNOWN_VERSION) {
+            watch = new ListCall(null, true);
         } else if (on) {
-            watch = new Call("watch=1&after=" + version, true);
+            watch = new ListCall("watch=1&after=" + version, true);
         }
         if (on) {
             watch.start();
@@ -120,195 +120,195 @@
     }
 
     /** Fetches the whole list once. */
-    public void fetch() {
-        new Call(null, false).start();
+    public void fetchWholeList() {
+        new ListCall(null, false).start();
     }
 
     /** An empty line: nothing has changed since the line before. */
-    private void heartbeat() {
+    private void handleHeartbeat() {
         boolean complete = isComplete();
-        askForMissed();
+        fetchIfMissed();
         if (complete) {
-            watch.brought = true;
+            watch.confirmedList = true;
             listener.upToDate();
         }
     }
 
     /** All changes up to the version held have been read. */
     private boolean isComplete() {
-        return !missed && version != UNKNOWN;
+        return !missedUpdate && version != UNKNOWN_VERSION;
     }
 
-    private void line(byte[] line) {
+    private void handleLine(byte[] line) {
         if (line != null && line.length <= 1) {
-            heartbeat();
+            handleHeartbeat();
             return;
         }
         ListUpdate update = line == null ? null : parser.parse(line);
         if (line == null) {
             invariants.count("discovery line too long");
         }
-        missed |= update == null;
+        missedUpdate |= update == null;
         if (update != null && update.full()) {
-            missed = false;
+            missedUpdate = false;
         }
         if (update != null) {
             boolean back = update.version() < version;
-            version = back && !update.full() ? UNKNOWN : update.version();
+            version = back && !update.full() ? UNKNOWN_VERSION : update.version();
             if (isComplete()) {
-                watch.brought = true;
+                watch.confirmedList = true;
             }
-            listener.listed(update, isComplete());
+            listener.listReceived(update, isComplete());
             if (back) {
-                wentBack(update);
+                handleVersionRegression(update);
             }
-            askForMissed();
+            fetchIfMissed();
         }
     }
 
     /** A line that could not be read told of something that no later change repeats: the whole list is asked for. */
-    private void askForMissed() {
-        if (missed) {
-            missed = false;
+    private void fetchIfMissed() {
+        if (missedUpdate) {
+            missedUpdate = false;
             invariants.count("discovery asked for what it missed");
-            version = UNKNOWN;
+            version = UNKNOWN_VERSION;
             watch(true);
         }
     }
 
     /** What it says was told and holds, but what it left out on its way back may be lost: the whole list is asked for. */
-    private void wentBack(ListUpdate update) {
-        parser.complaints().about("discovery version went back", "to " + update.version(), "; the whole list is asked for");
-        if (version == UNKNOWN) {
+    private void handleVersionRegression(ListUpdate update) {
+        parser.errorLog().report("discovery version went back", "to " + update.version(), "; the whole list is asked for");
+        if (version == UNKNOWN_VERSION) {
             watch(true);
         }
     }
 
     /** One call: ends by its answer, by a failure, or by silence. */
-    private final class Call implements OutboundConnection.Handler {
-        private final InetSocketAddress to = address;
+    private final class ListCall implements OutboundConnection.Handler {
+        private final InetSocketAddress server = address;
         /** Null for the whole list. */
         private final String query;
         /** A watch, or the whole list that one begins with. */
-        private final boolean watches;
-        private final Lines lines = new Lines(MOST_LINE_BYTES, Discovery.this::line);
-        private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-        private OutboundConnection link;
-        private TimerWheel.Timer silence;
-        private boolean over;
-        private long pieces;
+        private final boolean isWatch;
+        private final LineSplitter lineSplitter = new LineSplitter(MAX_LINE_BYTES, WorkerListClient.this::handleLine);
+        private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+        private OutboundConnection connection;
+        private TimerWheel.Timer silenceTimer;
+        private boolean ended;
+        private long partCount;
         private long startedUs;
         private boolean connected;
         /** It is a watch that has brought the list, or said that it has not changed. */
-        private boolean brought;
+        private boolean confirmedList;
 
-        Call(String query, boolean watches) {
+        ListCall(String query, boolean watches) {
             this.query = query;
-            this.watches = watches;
+            this.isWatch = watches;
         }
 
         void start() {
-            if (!watches) {
+            if (!isWatch) {
                 fetches.add(this);
             }
             invariants.count("discovery calls");
             startedUs = loop.nowUs();
-            silence = loop.schedule(pushed.getAsBoolean() ? AGENT_ANSWER_US : ANSWER_US, this::silent);
-            link = dialer.connect(to, DIAL_US, this);
+            silenceTimer = loop.schedule(listPushed.getAsBoolean() ? AGENT_RESPONSE_TIMEOUT_US : RESPONSE_TIMEOUT_US, this::handleSilence);
+            connection = connector.connect(server, CONNECT_TIMEOUT_US, this);
         }
 
         /** Guards against a discovery machine that vanished: it leaves its connections open and mute. */
-        private void silent() {
-            long heard = pieces;
+        private void handleSilence() {
+            long heard = partCount;
             // What lies unread, as this process had other things to do, is heard first.
             loop.afterIoRound(() -> {
-                if (!over && heard == pieces) {
+                if (!ended && heard == partCount) {
                     invariants.count("discovery silent");
                     ListCallFailure notBrought = connected ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED;
-                    fail(brought ? ListCallFailure.WATCH_SILENT : notBrought, pieces == 0 ? "no answer" : "silent");
+                    fail(confirmedList ? ListCallFailure.WATCH_SILENT : notBrought, partCount == 0 ? "no answer" : "silent");
                 }
             });
         }
 
         void stop() {
-            over = true;
-            silence.cancel();
-            link.closeGracefully(() -> { });
+            ended = true;
+            silenceTimer.cancel();
+            connection.closeGracefully(() -> { });
             fetches.remove(this);
         }
 
         /** The list service ended it, or no connection came up. */
         private void fail() {
-            if (brought) {
+            if (confirmedList) {
                 fail(ListCallFailure.WATCH_ENDED, "ended");
                 return;
             }
-            boolean atOnce = loop.nowUs() - startedUs < REFUSED_WITHIN_US;
+            boolean atOnce = loop.nowUs() - startedUs < REFUSAL_WINDOW_US;
             fail(connected && !atOnce ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, connected ? "ended" : "not connected");
         }
 
         private void fail(ListCallFailure failure, String how) {
-            if (over) {
+            if (ended) {
                 return;
             }
             stop();
             watch = watch == this ? null : watch;
-            logEnd(failure + ", " + how);
-            listener.listFailed(failure, startedUs);
+            logOutcome(failure + ", " + how);
+            listener.listCallFailed(failure, startedUs);
         }
 
-        private void logEnd(String how) {
-            long tookMs = (loop.nowUs() - startedUs) / MS;
-            events.log(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + OutboundConnection.hostHeader(to) + " over after " + tookMs
+        private void logOutcome(String how) {
+            long tookMs = (loop.nowUs() - startedUs) / US_PER_MS;
+            events.log(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + OutboundConnection.hostHeader(server) + " over after " + tookMs
                 + " ms: " + how);
         }
 
         @Override
         public void connected(OutboundConnection l) {
             connected = true;
-            l.sendRequest(l.requestHead("GET", "/v1/servers", query, OutboundConnection.hostHeader(to)), new byte[0], this);
+            l.sendRequest(l.requestHead("GET", "/v1/servers", query, OutboundConnection.hostHeader(server)), new byte[0], this);
         }
 
         @Override
         public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            pieces++;
-            silence.cancel();
-            silence = loop.schedule(query == null ? ANSWER_US : SILENCE_US, this::silent);
+            partCount++;
+            silenceTimer.cancel();
+            silenceTimer = loop.schedule(query == null ? RESPONSE_TIMEOUT_US : WATCH_SILENCE_TIMEOUT_US, this::handleSilence);
             if (piece.status() != 200) {
                 invariants.count("discovery status " + piece.status());
-                fail(piece.status() == BUSY ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + piece.status());
+                fail(piece.status() == SERVICE_UNAVAILABLE ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + piece.status());
             } else if (query != null) {
-                if (pieces == 1) {
-                    logEnd("watch opened");
+                if (partCount == 1) {
+                    logOutcome("watch opened");
                 }
-                lines.feed(piece.bytes());
+                lineSplitter.feed(piece.bytes());
                 if (piece.isLast()) {
                     fail(); // the line that it ends in, if any, was cut and is asked for again
                 }
             } else {
-                whole.writeBytes(piece.bytes());
-                if (whole.size() > MOST_LINE_BYTES) {
+                body.writeBytes(piece.bytes());
+                if (body.size() > MAX_LINE_BYTES) {
                     fail();
                 } else if (piece.isLast()) {
-                    wholeList();
+                    handleWholeList();
                 }
             }
         }
 
-        private void wholeList() {
-            ListUpdate update = parser.parse(whole.toByteArray());
+        private void handleWholeList() {
+            ListUpdate update = parser.parse(body.toByteArray());
             if (update == null) {
                 fail();
                 return;
             }
             stop();
-            logEnd("whole list of version " + update.version());
+            logOutcome("whole list of version " + update.version());
             version = update.version();
-            listener.listed(new ListUpdate(update.version(), true, update.entries()), true);
-            if (watches) {
+            listener.listReceived(new ListUpdate(update.version(), true, update.entries()), true);
+            if (isWatch) {
                 watch(true);
             }
         }
--- a/node/src/main/java/hookweir/net/worker/IdleLinks.java
+++ b/node/src/main/java/hookweir/net/worker/IdleConnections.java
@@ -6,47 +6,47 @@
 import java.util.Map;
 
 /** The idle links to all workers, in the order in which they were put aside. Belongs to the loop. */
-final class IdleLinks {
+final class IdleConnections {
     /** A link and whose it is. */
-    record Entry(WorkerEndpoint target, OutboundConnection link) {
+    record Entry(WorkerEndpoint worker, OutboundConnection connection) {
     }
 
     /** Those that carried a job, the one that was put aside longest ago first. */
-    private final Map<OutboundConnection, WorkerEndpoint> ofJobs = new LinkedHashMap<>();
+    private final Map<OutboundConnection, WorkerEndpoint> usedByJobs = new LinkedHashMap<>();
     /** Those that never carried one, in the same order: they are the first to make room. */
-    private final Map<OutboundConnection, WorkerEndpoint> ofProbes = new LinkedHashMap<>();
+    private final Map<OutboundConnection, WorkerEndpoint> usedByProbesOnly = new LinkedHashMap<>();
 
     /** Puts a link aside. */
     void add(WorkerEndpoint target, OutboundConnection link) {
-        target.idle.addFirst(link);
-        (link.duplicateResponseUntilUs > 0 ? ofJobs : ofProbes).put(link, target);
+        target.idleConnections.addFirst(link);
+        (link.duplicateResponseUntilUs > 0 ? usedByJobs : usedByProbesOnly).put(link, target);
     }
 
     /** Takes this link out; nothing happens where it is not idle. */
-    void take(WorkerEndpoint target, OutboundConnection link) {
-        if (target.idle.peekLast() == link) {
-            target.idle.pollLast();
+    void remove(WorkerEndpoint target, OutboundConnection link) {
+        if (target.idleConnections.peekLast() == link) {
+            target.idleConnections.pollLast();
         } else {
-            target.idle.remove(link);
+            target.idleConnections.remove(link);
         }
-        ofJobs.remove(link);
-        ofProbes.remove(link);
+        usedByJobs.remove(link);
+        usedByProbesOnly.remove(link);
     }
 
     /**
      * The newest link to this worker on which no second answer can come any more, which leaves the others to their end by age;
      * else the one that rested longest; null where there is none that nobody waits for.
      */
-    OutboundConnection mostRested(WorkerEndpoint target, long nowUs) {
+    OutboundConnection chooseForReuse(WorkerEndpoint target, long nowUs) {
         OutboundConnection oldest = null;
-        for (Iterator<OutboundConnection> it = target.idle.descendingIterator(); it.hasNext() && oldest == null;) {
+        for (Iterator<OutboundConnection> it = target.idleConnections.descendingIterator(); it.hasNext() && oldest == null;) {
             OutboundConnection link = it.next();
             oldest = link.reserved ? null : link;
         }
         if (oldest == null || oldest.duplicateResponseUntilUs > nowUs) {
             return oldest;
         }
-        for (OutboundConnection link : target.idle) {
+        for (OutboundConnection link : target.idleConnections) {
             if (!link.reserved && link.duplicateResponseUntilUs <= nowUs) {
                 return link;
             }
@@ -55,9 +55,9 @@
     }
 
     /** The link that was put aside longest ago and that nobody waits for, one that never carried a job first; or null. */
-    Entry leastMissed() {
-        Entry ofProbe = oldest(ofProbes);
-        return ofProbe == null ? oldest(ofJobs) : ofProbe;
+    Entry chooseForEviction() {
+        Entry ofProbe = oldest(usedByProbesOnly);
+        return ofProbe == null ? oldest(usedByJobs) : ofProbe;
     }
 
     private static Entry oldest(Map<OutboundConnection, WorkerEndpoint> links) {
--- a/node/src/main/java/hookweir/net/worker/LoadReport.java
+++ b/node/src/main/java/hookweir/net/worker/LoadReportParser.java
@@ -9,34 +9,34 @@
 import java.util.List;
 
 /** Reads load reports, as name=value pairs or as a JSON object, into the module's form. */
-public final class LoadReport {
+public final class LoadReportParser {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Figures of so many characters have no more digits than a double keeps. */
-    private static final int MOST_PLAIN = 15;
-    private static final double TEN = 10;
+    private static final int MAX_PLAIN_CHARS = 15;
+    private static final double DECIMAL_BASE = 10;
 
     private final List<String> fields;
 
     /** The settings name the fields that reports here have; others are passed over. */
-    public LoadReport(String[] fields) {
+    public LoadReportParser(String[] fields) {
         this.fields = List.of(fields);
     }
 
     /** A report from a body: JSON or pairs; null where it holds no figure. */
-    public Report ofBody(byte[] body) {
+    public Report parseBody(byte[] body) {
         if (body.length > 0 && body[0] == '{') {
             try {
-                return ofJson(JSON.readTree(body));
+                return parseJson(JSON.readTree(body));
             } catch (IOException e) {
                 return null;
             }
         }
-        return ofPairs(new String(body, StandardCharsets.ISO_8859_1));
+        return parsePairs(new String(body, StandardCharsets.ISO_8859_1));
     }
 
     /** A report from a header; null where it holds no figure. */
-    public Report ofPairs(String text) {
+    public Report parsePairs(String text) {
         if (text == null) {
             return null;
         }
@@ -50,15 +50,15 @@
             }
             int eq = text.indexOf('=', from);
             if (eq > from && eq < to) {
-                double value = figure(text, eq + 1, to);
-                any |= !Double.isNaN(value) && set(report, text.substring(from, eq), value);
+                double value = parseNumber(text, eq + 1, to);
+                any |= !Double.isNaN(value) && setField(report, text.substring(from, eq), value);
             }
         }
         return any ? report : null;
     }
 
     /** A report from an object; null where it holds no figure. */
-    public Report ofJson(JsonNode object) {
+    public Report parseJson(JsonNode object) {
         if (object == null || !object.isObject()) {
             return null;
         }
@@ -66,30 +66,30 @@
         report.clear();
         boolean any = false;
         for (String name : fields) {
-            any |= object.path(name).isNumber() && set(report, name, object.path(name).doubleValue());
+            any |= object.path(name).isNumber() && setField(report, name, object.path(name).doubleValue());
         }
         return any ? report : null;
     }
 
     /** A figure there: plain decimals at once, other forms by the library; NaN where it is no number, and counts as absent. */
-    private static double figure(String text, int from, int to) {
+    private static double parseNumber(String text, int from, int to) {
         long whole = 0;
         double scale = 0;
         for (int i = from; i < to; i++) {
             char c = text.charAt(i);
-            if (c >= '0' && c <= '9' && to - from <= MOST_PLAIN) {
+            if (c >= '0' && c <= '9' && to - from <= MAX_PLAIN_CHARS) {
                 whole = 10 * whole + c - '0';
-                scale *= TEN;
-            } else if (c == '.' && scale == 0 && to - from <= MOST_PLAIN) {
+                scale *= DECIMAL_BASE;
+            } else if (c == '.' && scale == 0 && to - from <= MAX_PLAIN_CHARS) {
                 scale = 1;
             } else {
-                return byLibrary(text.substring(from, to));
+                return parseWithLibrary(text.substring(from, to));
             }
         }
         return to == from ? Double.NaN : scale == 0 ? whole : whole / scale;
     }
 
-    private static double byLibrary(String text) {
+    private static double parseWithLibrary(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -97,7 +97,7 @@
         }
     }
 
-    private boolean set(Report report, String name, double v) {
+    private boolean setField(Report report, String name, double v) {
         return fields.contains(name) && Double.isFinite(v) && ReportFields.set(report, name, v);
     }
 }
--- a/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
+++ b/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
@@ -12,11 +12,11 @@
     public final String name;
     /** Its id for the module. */
     public final int id;
-    final Deque<OutboundConnection> idle = new ArrayDeque<>();
+    final Deque<OutboundConnection> idleConnections = new ArrayDeque<>();
     private InetSocketAddress address;
-    private String host;
+    private String hostHeader;
     private Contract.WorkerState state;
-    private long answersTwiceUntilUs;
+    private long duplicateResponsesUntilUs;
 
     WorkerEndpoint(String name, int id) {
         this.name = name;
@@ -29,28 +29,28 @@
     }
 
     /** Where it listens, as a call's Host header has it. */
-    public String host() {
-        return host;
+    public String hostHeader() {
+        return hostHeader;
     }
 
     /** New work may go to it, as far as this scheduler was told. */
-    public boolean ready() {
+    public boolean isReady() {
         return state == Contract.WorkerState.READY;
     }
 
     /** It answered a call twice, so its links rest after each job until then. */
-    void answeredTwice(long untilUs) {
-        answersTwiceUntilUs = untilUs;
+    void expectDuplicateResponses(long untilUs) {
+        duplicateResponsesUntilUs = untilUs;
     }
 
     /** Its links always rest after a job. */
-    boolean answersTwice(long nowUs) {
-        return nowUs < answersTwiceUntilUs;
+    boolean sendsDuplicateResponses(long nowUs) {
+        return nowUs < duplicateResponsesUntilUs;
     }
 
     void update(InetSocketAddress newAddress, Contract.WorkerState newState) {
         if (!newAddress.equals(address)) {
-            host = OutboundConnection.hostHeader(newAddress);
+            hostHeader = OutboundConnection.hostHeader(newAddress);
         }
         address = newAddress;
         state = newState;
--- a/node/src/test/java/hookweir/net/AutoWorker.java
+++ b/node/src/test/java/hookweir/net/AutoWorker.java
@@ -18,7 +18,7 @@
     final Queue<String> ids = new ConcurrentLinkedQueue<>();
     private final TestNode node;
     private final String name;
-    private final boolean ends;
+    private final boolean completesJobs;
 
     AutoWorker(TestNode node, boolean ends) {
         this(node, node.worker, "s-01", ends, Integer.MAX_VALUE);
@@ -28,7 +28,7 @@
     AutoWorker(TestNode node, ServerSocket door, String name, boolean ends, int mostConnections) {
         this.node = node;
         this.name = name;
-        this.ends = ends;
+        this.completesJobs = ends;
         start(() -> {
             for (int held = 0; true; held++) {
                 Socket s = door.accept();
@@ -70,7 +70,7 @@
                 ids.add(job);
                 jobs.incrementAndGet();
                 s.getOutputStream().write(TestNode.TAKEN.getBytes(StandardCharsets.US_ASCII));
-                if (ends) {
+                if (completesJobs) {
                     node.tell(job, name, "done");
                 }
             } else {
--- a/node/src/test/java/hookweir/net/CancelStagesTest.java
+++ b/node/src/test/java/hookweir/net/CancelStagesTest.java
@@ -19,7 +19,7 @@
     /** Being pushed: the worker has the job and has not said 202; the client leaves; DELETE or a closed link. */
     /** A worker that stalls within a call gets no answer for it, as an answer would end its tries: it calls once more. */
     @Test
-    void aCallBackThatStallsIsCalledAgain() throws Exception {
+    void stalledCallbackIsRepeated() throws Exception {
         try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect(); Socket call = n.connect()) {
             say(client, job("c9"));
             try (Socket w = n.worker.accept()) {
@@ -35,23 +35,23 @@
     }
 
     @Test
-    void aJobBeingPushedIsCalledOff() throws Exception {
+    void jobBeingSentIsCancelled() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             Socket client = n.connect(); // closed by hand: its leaving is the test
             say(client, job("c2"));
             try (Socket w = n.worker.accept()) {
                 assertTrue(hear(w).startsWith("POST /api"));
                 client.close();
-                String next = hearOrEnd(w);
+                String next = readOrNullAtEnd(w);
                 assertTrue(next == null || next.startsWith("DELETE /jobs/c2 HTTP/1.1\r\n"), "after the client left: " + next);
             }
-            assertGoesOn(n);
+            assertStillServing(n);
         }
     }
 
     /** Held: after the 202 the client leaves; the worker hears DELETE /jobs/ID, and a late done finds nobody. */
     @Test
-    void aJobHeldAfterItsTakingIsCalledOffByDelete() throws Exception {
+    void acceptedJobIsCancelledByDelete() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             Socket client = n.connect(); // closed by hand: its leaving is the test
             say(client, job("c4"));
@@ -63,11 +63,11 @@
                 assertTrue(hear(w).startsWith("DELETE /jobs/c4 HTTP/1.1\r\n"));
                 assertTrue(n.tell("c4", "s-01", "done").startsWith("HTTP/1.1 2"), "a late done is taken and dropped");
             }
-            assertGoesOn(n);
+            assertStillServing(n);
         }
     }
 
-    private static String hearOrEnd(Socket w) throws java.io.IOException {
+    private static String readOrNullAtEnd(Socket w) throws java.io.IOException {
         try {
             String heard = hear(w);
             return heard.isEmpty() ? null : heard; // the link was closed
@@ -77,7 +77,7 @@
     }
 
     /** The scheduler goes on: it answers its health check, and the client got nothing after it left. */
-    private static void assertGoesOn(TestNode n) throws Exception {
+    private static void assertStillServing(TestNode n) throws Exception {
         assertTrue(n.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "it stopped serving");
     }
 }
--- a/node/src/test/java/hookweir/net/ClosingTest.java
+++ b/node/src/test/java/hookweir/net/ClosingTest.java
@@ -16,18 +16,18 @@
 
 /**
  * Bytes that come in the very moment in which the scheduler ends a connection. Where it closes over them, the system resets
- * the connection, and what was written before goes with it: {@link #end} fails on a reset.
+ * the connection, and what was written before goes with it: {@link #assertCleanEnd} fails on a reset.
  */
 @Timeout(30)
 final class ClosingTest {
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
     /** The client's end of a connection that was ended in order, with nothing more on it. */
-    private static void end(Socket client) throws IOException {
+    private static void assertCleanEnd(Socket client) throws IOException {
         assertEquals(-1, client.getInputStream().read(), "an end, no reset and no byte more");
     }
 
-    private static Socket resting(TestNode n) throws IOException {
+    private static Socket idleConnection(TestNode n) throws IOException {
         Socket client = n.connect();
         say(client, HEALTHZ);
         assertTrue(hear(client).startsWith("HTTP/1.1 200"));
@@ -37,27 +37,27 @@
 
     /** It lies unread on a resting connection as SIGTERM comes: it was there before, so it is read and answered. */
     @Test
-    void aRequestThatCameJustBeforeTheSignalIsAnswered() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = resting(n)) {
+    void requestReceivedBeforeSigtermIsAnswered() throws Exception {
+        try (TestNode n = new TestNode("read_like"); Socket client = idleConnection(n)) {
             CountDownLatch gate = n.deaf();
             say(client, HEALTHZ);
             n.node.drain();
             gate.countDown();
             assertTrue(hear(client).startsWith("HTTP/1.1 503"));
-            end(client);
+            assertCleanEnd(client);
         }
     }
 
     /** What comes on a connection after its output was shut finds its end; nothing of it is sent on. */
     @Test
-    void aRequestThatComesAfterTheShutdownFindsTheEndAndGoesNowhere() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = resting(n); Socket holds = n.connect()) {
+    void requestAfterShutdownIsNotForwarded() throws Exception {
+        try (TestNode n = new TestNode("read_like"); Socket client = idleConnection(n); Socket holds = n.connect()) {
             say(holds, job("s0"));
             try (Socket w = n.worker.accept()) {
                 hear(w);
                 say(w, TAKEN);
                 n.node.drain();
-                end(client);
+                assertCleanEnd(client);
                 say(client, job("s1"));
                 say(client, job("s2"));
                 n.awaitCount("ingress bytes after the end", 1);
@@ -72,11 +72,11 @@
 
     /** What a client sends behind its last request is read and dropped, so that no reset overtakes the answer. */
     @Test
-    void bytesBehindTheLastRequestAreReadAndDropped() throws Exception {
+    void bytesAfterLastRequestAreDiscarded() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, HEALTHZ.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-            end(client);
+            assertCleanEnd(client);
             say(client, HEALTHZ);
             n.awaitCount("ingress bytes after the end", 1);
         }
@@ -84,11 +84,11 @@
 
     /** Clients that connected and rest, with nothing sent yet, are ended after SIGTERM too, and the process goes. */
     @Test
-    void aConnectionThatNeverBroughtARequestIsEndedAfterTheSignal() throws Exception {
+    void connectionWithoutRequestIsClosedOnSigterm() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket silent = n.connect()) {
             assertTrue(n.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
             n.node.drain();
-            end(silent);
+            assertCleanEnd(silent);
             assertEquals(0, n.node.invariants().counted("ingress silent"), "by the drain, not by its silence");
             n.loop.join(20_000);
             assertFalse(n.loop.isAlive());
@@ -97,11 +97,11 @@
 
     /** What operators send behind their call is read and dropped, too. */
     @Test
-    void bytesBehindAnOperatorsCallAreReadAndDropped() throws Exception {
+    void bytesAfterAdminRequestAreDiscarded() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket operator = n.admin()) {
             say(operator, "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(hear(operator).startsWith("HTTP/1.1 200"));
-            end(operator);
+            assertCleanEnd(operator);
             say(operator, HEALTHZ);
             n.awaitCount("admin bytes after the end", 1);
         }
@@ -109,7 +109,7 @@
 
     /** A flood of jobs on one connection, whose sender goes: none but the one at the worker is sent on. */
     @Test
-    void aFloodWhoseSenderWentIsSentNowhere() throws Exception {
+    void pipelinedJobsOfDisconnectedClientAreNotForwarded() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             Socket flood = n.connect(); // closed by hand: its leaving is the test
             StringBuilder all = new StringBuilder();
@@ -130,7 +130,7 @@
 
     /** More than may wait on one connection is not read; what was taken is answered, then an error ends it. */
     @Test
-    void beyondWhatMayWaitOnOneConnectionTheRestIsRefused() throws Exception {
+    void pipelinedRequestsOverTheLimitAreRejected() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket flood = n.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 400; i++) {
@@ -146,14 +146,14 @@
                 served++;
             }
             assertTrue(answer.startsWith("HTTP/1.1 429"), answer);
-            end(flood);
+            assertCleanEnd(flood);
             assertEquals(served, n.node.invariants().counted("requests"), "each that was taken was answered");
         }
     }
 
     /** A request that a client sent ahead was taken, and is answered before its client is sent away. */
     @Test
-    void whatWasSentAheadIsAnsweredBeforeItsClientIsSentAway() throws Exception {
+    void pipelinedRequestIsAnsweredBeforeDrainClosesConnection() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, job("h1") + job("h2"));
             try (Socket w = n.worker.accept()) {
@@ -164,14 +164,14 @@
                 n.tell("h1", "s-01", "done");
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 "), "an answer to what was taken");
-                end(client);
+                assertCleanEnd(client);
             }
         }
     }
 
     /** Its client sent much behind a job and left: that is seen, though little of it was read. */
     @Test
-    void theEndOfAClientThatSentTooMuchIsSeen() throws Exception {
+    void disconnectOfClientThatSentTooMuchIsNoticed() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             Socket client = n.connect(); // closed by hand: its leaving is the test
             say(client, job("i1"));
@@ -187,7 +187,7 @@
 
     /** As the process leaves, a client's connection on which nothing came yet is ended like any other, not closed under its request. */
     @Test
-    void noConnectionOfAClientIsLeftAsTheProcessLeaves() throws Exception {
+    void newConnectionIsClosedCleanlyAtExit() throws Exception {
         try (TestNode n = TestNode.frozen("read_like")) {
             n.step(650_000);
             n.node.drain();
@@ -202,7 +202,7 @@
                 n.rounds();
                 say(client, HEALTHZ);
                 assertTrue(hear(client).startsWith("HTTP/1.1 503"));
-                end(client);
+                assertCleanEnd(client);
                 n.goOn(0);
             }
             n.loop.join();
--- a/node/src/test/java/hookweir/net/DialsTest.java
+++ b/node/src/test/java/hookweir/net/ConnectCountTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import hookweir.Contract;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Random;
@@ -16,17 +16,17 @@
 
 /** How many dials jobs cost under load: a count that does not depend on the machine. */
 @Timeout(60)
-final class DialsTest {
+final class ConnectCountTest {
     private static final int MOST_WAITING = 1024;
 
     /** A worker under load is not dialled for each job: so many jobs under way, each ended in an order that a seed forces. */
     @ParameterizedTest
     @CsvSource({"1,4", "1,256", "10,64", "100,256"})
-    void aBusyWorkerIsNotDialledForEachJob(int workers, int underWay) throws Exception {
+    void busyWorkerReusesConnections(int workers, int underWay) throws Exception {
         try (LinkPool pool = new LinkPool(8192)) {
             for (int w = 2; w <= workers; w++) {
                 int id = w;
-                pool.bare.loop.post(() -> pool.egress.told(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                pool.bare.loop.post(() -> pool.egress.applyUpdate(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
                     pool.door.getLocalPort()), Contract.WorkerState.READY));
             }
             Thread acceptor = new Thread(pool::acceptAll);
@@ -40,7 +40,7 @@
 
     /** Two links are all that the descriptors allow: jobs share them, and neither is ended for the sake of the next job. */
     @Test
-    void twoLinksAreSharedWhereThereCanBeNoMore() throws Exception {
+    void connectionsAreSharedAtTheDescriptorLimit() throws Exception {
         try (LinkPool pool = new LinkPool(4)) {
             Thread acceptor = new Thread(pool::acceptAll);
             acceptor.setDaemon(true);
@@ -52,7 +52,7 @@
 
     /** No more than so many calls wait for a link: the next gets none at once. */
     @Test
-    void soManyCallsWaitForALinkAndNoMore() throws Exception {
+    void numberOfWaitingCallsIsBounded() throws Exception {
         try (LinkPool pool = new LinkPool(4)) {
             pool.link();
             pool.link();
@@ -61,12 +61,12 @@
             CountDownLatch refused = new CountDownLatch(1);
             pool.bare.loop.post(() -> {
                 for (int i = 0; i <= MOST_WAITING; i++) {
-                    pool.egress.link(pool.egress.target(1), new LinkPool.Silent() {
+                    pool.egress.acquire(pool.egress.worker(1), new LinkPool.Silent() {
                         @Override
                         public void connectionUnavailable() {
                             refused.countDown();
                         }
-                    }, Egress.SETTLED);
+                    }, WorkerConnectionPool.REUSE_SETTLED);
                 }
             });
             refused.await();
--- a/node/src/test/java/hookweir/net/CrowdedLinks.java
+++ b/node/src/test/java/hookweir/net/CrowdedConnections.java
@@ -20,18 +20,18 @@
  * A scheduler with nine workers behind one door and nine jobs, some of which wait for a connection, as all that there may be are
  * dialled; its loop is held until the gate is counted down.
  */
-final class CrowdedLinks implements AutoCloseable {
+final class CrowdedConnections implements AutoCloseable {
     static final int WORKERS = 9;
 
-    final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    final ServerSocket workerListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     final TestNode node = new TestNode("read_like", 20_000_000, "'sockets':64");
     final List<Socket> clients = new ArrayList<>();
     final CountDownLatch gate;
     /** Dials so far. */
-    final long dials;
+    final long connectCount;
 
-    CrowdedLinks() throws Exception {
-        line(node.watch, "{'version':8,'full':true,'servers':[" + many(node, door, "SERVING", WORKERS) + "]}");
+    CrowdedConnections() throws Exception {
+        line(node.watch, "{'version':8,'full':true,'servers':[" + many(node, workerListener, "SERVING", WORKERS) + "]}");
         node.awaitCount("list updates", 3);
         for (int i = 0; i < WORKERS; i++) {
             clients.add(node.connect());
@@ -42,18 +42,18 @@
                 say(client, job("w" + clients.indexOf(client)));
             }
         });
-        dials = dials();
-        assertEquals(WORKERS, dials + node.node.invariants().counted("egress waits for a link"));
-        assertTrue(dials < WORKERS, "all found a descriptor");
+        connectCount = connectCount();
+        assertEquals(WORKERS, connectCount + node.node.invariants().counted("egress waits for a link"));
+        assertTrue(connectCount < WORKERS, "all found a descriptor");
     }
 
     /** Dials by now. */
-    long dials() {
+    long connectCount() {
         return node.node.invariants().counted("egress dials");
     }
 
     /** All clients close their connections. */
-    void leave() throws IOException {
+    void closeClients() throws IOException {
         for (Socket client : clients) {
             client.close();
         }
@@ -61,9 +61,9 @@
 
     @Override
     public void close() throws IOException {
-        leave();
+        closeClients();
         node.watch.close();
         node.close();
-        door.close();
+        workerListener.close();
     }
 }
--- a/node/src/test/java/hookweir/net/DescriptorShareTest.java
+++ b/node/src/test/java/hookweir/net/DescriptorShareTest.java
@@ -67,7 +67,7 @@
     }
 
     /** Answers discovery's calls with this list until a watch stands. */
-    private static Socket watched(ServerSocket list, String servers) throws IOException {
+    private static Socket acceptWatch(ServerSocket list, String servers) throws IOException {
         String whole = "{'version':9,'full':true,'servers':[" + servers + "]}";
         while (true) {
             Socket call = list.accept();
@@ -94,7 +94,7 @@
         return answer;
     }
 
-    private static long open(Process p) throws IOException {
+    private static long openDescriptors(Process p) throws IOException {
         try (var all = Files.list(Path.of("/proc", Long.toString(p.pid()), "fd"))) {
             return all.count();
         }
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void watchLinksAndCallBacksFindTheirsUnderACrowd() throws Exception {
+    void listAndWorkerConnectionsKeepDescriptorsUnderManyClients() throws Exception {
         int discovery = freePort(); // nobody listens there yet: discovery is down
         int admin = freePort();
         Path config = Files.createTempFile("hookweir", ".json");
@@ -135,14 +135,14 @@
                 fill(port, CROWD);
                 fill(admin, OPERATORS);
                 ask(port, HEALTHZ); // by now all of the crowd that came before was let in, or made way
-                long full = open(p);
+                long full = openDescriptors(p);
                 assertTrue(full > DESCRIPTORS / 2 && full < DESCRIPTORS, "open descriptors: " + full);
                 try (ServerSocket list = new ServerSocket()) {
                     list.setReuseAddress(true);
                     list.bind(new InetSocketAddress(HERE, discovery), 50);
                     list.setSoTimeout(20_000);
                     String news = entry("s-01", leaves.getLocalPort(), "DRAINING") + "," + entry("s-02", worker.getLocalPort(), "SERVING");
-                    try (Socket watch = watched(list, news); Socket client = connect(port)) {
+                    try (Socket watch = acceptWatch(list, news); Socket client = connect(port)) {
                         fill(port, CROWD / 3);
                         say(client, job("a1"));
                         try (Socket link = worker.accept()) {
@@ -153,7 +153,7 @@
                             assertTrue(ask(port, post("/callback", "", done)).startsWith("HTTP/1.1 204"));
                             assertTrue(hear(client).startsWith("HTTP/1.1 200"));
                         }
-                        assertTrue(open(p) < DESCRIPTORS);
+                        assertTrue(openDescriptors(p) < DESCRIPTORS);
                         assertFalse(watch.isClosed());
                     }
                 }
@@ -168,13 +168,13 @@
                 p.destroyForcibly();
             }
             leaves.setSoTimeout(1);
-            assertEquals("nobody", dialled(leaves));
+            assertEquals("nobody", readFromNextConnection(leaves));
         } finally {
             Files.delete(config);
         }
     }
 
-    private static String dialled(ServerSocket door) throws IOException {
+    private static String readFromNextConnection(ServerSocket door) throws IOException {
         try (Socket s = door.accept()) {
             return hear(s);
         } catch (java.net.SocketTimeoutException none) {
--- a/node/src/test/java/hookweir/net/DepartedClientsTest.java
+++ b/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
@@ -25,12 +25,12 @@
 
 /** No attempt begins for a client that closed its connection, whatever the attempt waits for then. Clients are closed by hand. */
 @Timeout(60)
-final class DepartedClientsTest {
+final class DisconnectedClientsTest {
     private static final String DECLINED = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     private static final int CLIENTS = 8;
 
     /** Its client closes the connection. */
-    private static void leave(Socket client) throws Exception {
+    private static void disconnect(Socket client) throws Exception {
         client.close();
     }
 
@@ -46,7 +46,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aJobWhoseConnectionComesUpIsNotSent(boolean cancels) throws Exception {
+    void jobIsNotSentWhenItsConnectionOpens(boolean cancels) throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 TestNode n = cancels ? TestNode.pushed() : TestNode.withoutCancels();
@@ -75,7 +75,7 @@
     /** It leaves while its job waits for a link that settles; in the second case that lies unread as the link has settled. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aJobThatWaitsForALinkToSettleIsNotSent(boolean seen) throws Exception {
+    void jobWaitingForReuseDelayIsNotSent(boolean seen) throws Exception {
         try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
             n.freeze();
             say(client, job("s1"));
@@ -88,7 +88,7 @@
                 n.awaitCount("requests", 2);
                 n.rounds();
                 CountDownLatch gate = seen ? new CountDownLatch(1) : n.deaf();
-                leave(leaves);
+                disconnect(leaves);
                 if (seen) {
                     n.awaitCount("clients gone", 1);
                 }
@@ -106,7 +106,7 @@
     /** Its job was declined and is held for a repeat; in the second case its end lies unread as the repeat is due. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aJobThatIsHeldAfterARefusalIsNotRepeated(boolean seen) throws Exception {
+    void declinedJobIsNotRetried(boolean seen) throws Exception {
         try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode n = TestNode.pushed();
                 Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
             line(watch, "{'version':8,'full':true,'servers':[" + second(n, door, "SERVING") + "]}");
@@ -131,7 +131,7 @@
                     n.awaitCount("list updates", 4);
                     n.rounds();
                     CountDownLatch gate = seen ? new CountDownLatch(1) : n.deaf();
-                    leave(leaves);
+                    disconnect(leaves);
                     if (seen) {
                         n.awaitCount("clients gone", 1);
                     }
@@ -147,20 +147,20 @@
 
     /** Its job waits for a connection, as all that there may be are dialled: none is sent for it, and none dialled. */
     @Test
-    void aJobThatWaitsForAFreeConnectionIsNotSent() throws Exception {
-        try (CrowdedLinks crowd = new CrowdedLinks()) {
-            crowd.leave();
+    void jobWaitingForFreeConnectionIsNotSent() throws Exception {
+        try (CrowdedConnections crowd = new CrowdedConnections()) {
+            crowd.closeClients();
             crowd.gate.countDown();
-            crowd.node.awaitCount("clients gone", CrowdedLinks.WORKERS);
+            crowd.node.awaitCount("clients gone", CrowdedConnections.WORKERS);
             crowd.node.rounds();
-            assertEquals(crowd.dials, crowd.dials());
-            assertEquals("", sentTo(crowd.door, crowd.node));
+            assertEquals(crowd.connectCount, crowd.connectCount());
+            assertEquals("", sentTo(crowd.workerListener, crowd.node));
         }
     }
 
     /** Its job is held as no worker serves; its end lies unread as the module's next try is due, and a kept link rests. */
     @Test
-    void aJobThatIsHeldBeforeItsFirstAttemptIsNotSent() throws Exception {
+    void jobWaitingForAWorkerIsNotSent() throws Exception {
         try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
             say(client, job("h1"));
             try (Socket kept = n.worker.accept()) {
@@ -178,7 +178,7 @@
                 n.awaitCount("list updates", 3);
                 n.rounds();
                 CountDownLatch gate = n.deaf();
-                leave(leaves);
+                disconnect(leaves);
                 n.goOn(400_000);
                 gate.countDown();
                 n.awaitCount("clients gone", 1);
--- a/node/src/test/java/hookweir/net/EarlyHangUpTest.java
+++ b/node/src/test/java/hookweir/net/EarlySighupTest.java
@@ -12,7 +12,7 @@
 
 /** SIGHUP while a process starts: a JVM without a handler ended on it. */
 @Timeout(60)
-final class EarlyHangUpTest {
+final class EarlySighupTest {
     private static void run(String... command) throws Exception {
         assertTrue(new ProcessBuilder(command).inheritIO().start().waitFor() == 0, command[0]);
     }
@@ -29,7 +29,7 @@
 
     /** The configuration is a pipe: who reads it waits for the test. */
     @Test
-    void aHangUpBeforeTheConfigurationIsReadIsHeededOnceItServes() throws Exception {
+    void sighupDuringStartReloadsOnceServing() throws Exception {
         Path folder = Files.createTempDirectory("hookweir");
         Path pipe = folder.resolve("config.json");
         run("mkfifo", pipe.toString());
--- a/node/src/test/java/hookweir/net/EventLogTest.java
+++ b/node/src/test/java/hookweir/net/EventLogTest.java
@@ -9,26 +9,26 @@
     private static final int EVENTS = 1_000;
     private static final long SECOND_US = 1_000_000;
     private long nowUs = SECOND_US;
-    private int made;
+    private int textsBuilt;
 
     private String text() {
-        made++;
+        textsBuilt++;
         return "event";
     }
 
     @Test
-    void aStormIsCutShortAndCounted() {
+    void excessEventsAreDroppedAndCounted() {
         Invariants invariants = new Invariants();
         EventLog log = new EventLog(() -> nowUs, invariants);
         for (int i = 0; i < EVENTS; i++) {
             log.log(this::text);
         }
-        assertEquals(EventLog.BURST_LINES, made);
+        assertEquals(EventLog.BURST_LINES, textsBuilt);
         assertEquals(EVENTS - EventLog.BURST_LINES, invariants.counted("events not logged"));
         nowUs += SECOND_US;
         for (int i = 0; i < EVENTS; i++) {
             log.log(this::text);
         }
-        assertEquals(EventLog.BURST_LINES + EventLog.LINES_PER_S, made);
+        assertEquals(EventLog.BURST_LINES + EventLog.LINES_PER_S, textsBuilt);
     }
 }
--- a/node/src/test/java/hookweir/net/FailuresTest.java
+++ b/node/src/test/java/hookweir/net/FailuresTest.java
@@ -27,7 +27,7 @@
 class FailuresTest {
     /** Classes without a key come to the bare path: it was answered 404. */
     @Test
-    void barePathIsServed() throws Exception {
+    void apiPathWithoutKeyIsServed() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, job("a1"));
             try (Socket w = n.worker.accept()) {
@@ -42,7 +42,7 @@
 
     /** A call-back may come before the 202, may be repeated, and counts only from the worker that has the job. */
     @Test
-    void callbackBeforeTheAnswerAndTwice() throws Exception {
+    void earlyAndRepeatedCallbacksAreHandled() throws Exception {
         try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
             say(client, job("a2"));
             try (Socket w = n.worker.accept()) {
@@ -60,7 +60,7 @@
 
     /** A connection that ends after the request's last byte and before the 202 is a reset: it may have run. */
     @Test
-    void resetOfAnUnsafeJobFails() throws Exception {
+    void resetFailsNonIdempotentJob() throws Exception {
         try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
             say(client, job("a3"));
             try (Socket w = n.worker.accept()) {
@@ -73,7 +73,7 @@
 
     /** Bad input gets its answer and no more. */
     @Test
-    void badInputIsAnswered() throws Exception {
+    void invalidRequestsGetErrorResponses() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             assertTrue(n.ask(post("/api", "Req-Id: b1\r\nReq-Kind: unheard-of\r\n", "")).startsWith("HTTP/1.1 400"));
             assertTrue(n.ask(post("/api", "Req-Kind: render\r\n", "")).startsWith("HTTP/1.1 400"));
@@ -87,7 +87,7 @@
 
     /** A job whose time is up gets its final answer, and the worker that took it is told by DELETE. */
     @Test
-    void lateJobIsGivenUp() throws Exception {
+    void jobPastDeadlineIsAbandoned() throws Exception {
         try (TestNode n = new TestNode("non_idempotent", 3_000_000); Socket client = n.connect()) {
             say(client, post("/api", "Req-Id: a4\r\nReq-Kind: render\r\nReq-Deadline-Ms: 3000\r\n", "work"));
             try (Socket w = n.worker.accept()) {
@@ -101,7 +101,7 @@
 
     /** After the signal a held job is finished, its connection closed, and then the program ends. */
     @Test
-    void drainFinishesWhatIsHeld() throws Exception {
+    void drainCompletesPendingJobs() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, job("a5"));
             try (Socket w = n.worker.accept()) {
@@ -120,7 +120,7 @@
 
     /** A list call that fails is made again; a watch may come in any pieces and count bad lines. */
     @Test
-    void watchIsAskedForAgain() throws Exception {
+    void failedWatchIsRestarted() throws Exception {
         try (TestNode n = TestNode.unconfirmed("read_like")) {
             try (Socket d = n.list.accept()) {
                 assertTrue(hear(d).startsWith("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\n"));
@@ -141,7 +141,7 @@
 
     /** Buffers come back to the pool: each request's headers kept one from it. */
     @Test
-    void buffersAreUsedAgain() throws Exception {
+    void buffersAreReused() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             for (int i = 0; i < 100; i++) {
                 say(client, post("/callback", "", "{\"id\":\"x\",\"from\":\"y\",\"state\":\"done\"}"));
@@ -171,7 +171,7 @@
     /** Rule 3 counts from a send's first byte: a dial that comes up after word of a drain must carry nothing. */
     @Test
     @Timeout(60)
-    void dialThatComesUpAfterADrainCarriesNothing() throws Exception {
+    void connectionOpenedAfterDrainCarriesNothing() throws Exception {
         try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect(); Socket d = n.watch) {
             List<Socket> fillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) { // the worker's backlog of one is full, so the next dial waits
@@ -196,7 +196,7 @@
 
     /** A client that waits for leave to send its body gets it. */
     @Test
-    void expectationIsMet() throws Exception {
+    void expectContinueIsAnswered() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, "POST /callback HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
             assertTrue(hear(client).startsWith("HTTP/1.1 100"));
@@ -207,7 +207,7 @@
 
     /** A request that stood inside the body of another was passed on: it had two lengths, and is refused now. */
     @Test
-    void hiddenRequestGoesNowhere() throws Exception {
+    void smuggledRequestIsNotForwarded() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             String hidden = job("h2");
             say(client, "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: h1\r\nReq-Kind: render\r\nTransfer-Encoding: chunked\r\nContent-Length: "
@@ -220,7 +220,7 @@
 
     /** What can't be read ends a connection, but only after the answer to what was taken before it. */
     @Test
-    void takenRequestIsAnsweredBeforeTheError() throws Exception {
+    void acceptedRequestIsAnsweredBeforeTheError() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, job("h3") + "\u0001");
             try (Socket w = n.worker.accept()) {
@@ -236,7 +236,7 @@
 
     /** Silent connections were kept for a minute, and half a request for ever. */
     @Test
-    void silentAndSlowClientsAreSentAway() throws Exception {
+    void silentAndSlowClientsAreDisconnected() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket silent = n.connect(); Socket slow = n.connect()) {
             say(slow, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf");
             assertEquals(-1, silent.getInputStream().read());
@@ -246,17 +246,17 @@
 
     /** At the cap a client that had just come and was writing its job went before a crowd that asked once and stayed. */
     @Test
-    void crowdTakesNoWritersPlace() throws Exception {
+    void idleClientsDoNotDisplaceASendingClient() throws Exception {
         List<Socket> crowd = new ArrayList<>();
         try (TestNode n = new TestNode("read_like")) {
             while (n.node.invariants().counted("ingress closed at the cap") == 0) {
-                askAndStay(n, crowd);
+                requestAndKeepOpen(n, crowd);
             }
             try (Socket good = n.connect()) {
                 String job = job("l1");
                 say(good, job.substring(0, job.length() / 2));
                 for (int i = 0; i < 60; i++) { // more than there is room for
-                    askAndStay(n, crowd);
+                    requestAndKeepOpen(n, crowd);
                 }
                 say(good, job.substring(job.length() / 2));
                 try (Socket w = n.worker.accept()) {
@@ -273,7 +273,7 @@
         }
     }
 
-    private static void askAndStay(TestNode n, List<Socket> crowd) throws IOException {
+    private static void requestAndKeepOpen(TestNode n, List<Socket> crowd) throws IOException {
         Socket s = n.connect();
         crowd.add(s);
         say(s, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -282,7 +282,7 @@
 
     /** Hundreds of requests sent ahead on one connection: closing it lost the one being answered. */
     @Test
-    void manyRequestsAheadAreAllAnswered() throws Exception {
+    void manyPipelinedRequestsAreAnswered() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n".repeat(400));
             for (int i = 0; i < 400; i++) {
@@ -293,7 +293,7 @@
 
     /** A deadline that is no plain number was guessed at. */
     @Test
-    void oddDeadlinesAreRefused() throws Exception {
+    void malformedDeadlinesAreRejected() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             for (String odd : List.of("1e3", "-5", "0x10", "12.5", "soon", "1d", "99999999999")) {
                 assertTrue(n.ask(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
@@ -303,7 +303,7 @@
 
     /** A JVM ends on SIGHUP unless told otherwise. */
     @Test
-    void hangUpIsHandled() throws Exception {
+    void sighupIsHandled() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
         SighupHandler.install();
         SighupHandler.onSignal(heard::countDown);
@@ -313,7 +313,7 @@
 
     /** A reload goes over to the discovery that the file names, though a variable named another; a faulty file is passed over. */
     @Test
-    void reloadMovesDiscovery() throws Exception {
+    void reloadChangesListServiceAddress() throws Exception {
         try (TestNode n = new TestNode("read_like"); ServerSocket next = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             next.setSoTimeout(20_000);
             try (Socket old = n.watch) {
@@ -374,7 +374,7 @@
 
     /** An id that was answered here may still run at a worker: a second request of that id went there too. */
     @Test
-    void idIsTakenOnce() throws Exception {
+    void duplicateIdIsRejected() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             say(client, job("g1"));
             try (Socket w = n.worker.accept()) {
@@ -390,7 +390,7 @@
 
     /** The same bad request as soon as it is refused took thousands of turns of the loop; now there are pauses. */
     @Test
-    void sameAgainIsHeldBack() throws Exception {
+    void repeatedBadRequestIsDelayed() throws Exception {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
             for (int i = 0; i < 6; i++) {
                 say(client, post("/api", "Req-Id: i1\r\nReq-Kind: none\r\n", ""));
@@ -403,7 +403,7 @@
 
     /** Kept links that break under their next call failed jobs that must not run twice; these get links of their own. */
     @Test
-    void unsafeJobsAvoidKeptLinksWhereTheseBreak() throws Exception {
+    void nonIdempotentJobsAvoidUnreliableReusedConnections() throws Exception {
         try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
             try (Socket w = serveOnce(n, client, null, 0)) {
                 say(client, job("k1"));
@@ -418,13 +418,13 @@
 
     /** A probe that broke a kept link spoke against the worker; it is sent once more on a link of its own. */
     @Test
-    void probesBreakNoWorker() throws Exception {
+    void probeOnBrokenConnectionIsRetried() throws Exception {
         try (TestNode n = new TestNode("read_like", 20_000_000, true); Socket client = n.connect()) {
             Thread worker = new Thread(() -> {
                 try {
                     while (true) {
                         Socket w = n.worker.accept();
-                        new Thread(() -> linkThatCarriesOneProbe(n, w)).start();
+                        new Thread(() -> serveOneProbe(n, w)).start();
                     }
                 } catch (IOException e) {
                     assertTrue(n.worker.isClosed());
@@ -439,7 +439,7 @@
         }
     }
 
-    private static void linkThatCarriesOneProbe(TestNode n, Socket w) {
+    private static void serveOneProbe(TestNode n, Socket w) {
         try (w) {
             int probes = 0;
             for (String call = hear(w); !call.isEmpty(); call = hear(w)) {
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -12,7 +12,7 @@
 import hookweir.Contract;
 import hookweir.config.Config;
 import hookweir.config.ConfigReader;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.room.ResourceBudget;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -64,7 +64,7 @@
     /** On a watch, in one line. */
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
-    void aLineOfSoManyWorkersIsHeeded(int count) throws Exception {
+    void largeListLineIsApplied(int count) throws Exception {
         try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect()) {
             line(watch, "{'version':8,'full':true,'servers':[" + n.entry("SERVING") + draining(count - 1) + "]}");
             n.awaitCount("list updates", 2);
@@ -75,7 +75,7 @@
     /** As the answer to a call for the whole list. */
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
-    void aWholeListOfSoManyWorkersIsHeeded(int count) throws Exception {
+    void largeWholeListIsApplied(int count) throws Exception {
         try (TestNode n = TestNode.pushed(); Socket call = n.list.accept(); Socket client = n.connect()) {
             hear(call);
             String whole = "{'version':8,'full':true,'servers':[" + n.entry("SERVING") + draining(count - 1) + "]}";
@@ -89,7 +89,7 @@
 
     /** As many in the list as last held, and the settings of as many schedulers. */
     @Test
-    void aConfigurationOfSoManyWorkersAndSchedulersIsRead() throws Exception {
+    void largeConfigurationIsRead() throws Exception {
         Path file = Files.createTempFile("hookweir", ".json");
         try {
             Files.writeString(file, ("{'listen':'127.0.0.1:0','discovery':'127.0.0.1:9','known':{'version':1,'full':true,'servers':["
@@ -106,13 +106,13 @@
 
     /** More workers than links may be open: each gets one in its turn, and none is refused for those that rest. */
     @Test
-    void eachOfSoManyWorkersGetsALinkInItsTurn() throws Exception {
+    void everyWorkerGetsAConnectionOverTheDescriptorLimit() throws Exception {
         Invariants invariants = new Invariants();
         Loop loop = new Loop(invariants);
         Transport transport = new Transport(invariants, loop);
         ResourceBudget room = new ResourceBudget(1 << 20, 100);
         room.setMaxDescriptors(100);
-        Egress egress = new Egress(loop, new Connector(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
+        WorkerConnectionPool egress = new WorkerConnectionPool(loop, new Connector(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         try (ServerSocket door = new ServerSocket(0, 4096, InetAddress.getLoopbackAddress())) {
             transport.start();
@@ -121,12 +121,12 @@
             for (int i = 0; i < WORKERS; i++) {
                 int id = i;
                 loop.post(() -> {
-                    egress.told(id, "s-" + id, at, Contract.WorkerState.READY);
-                    egress.link(egress.target(id), new OutboundConnection.Handler() {
+                    egress.applyUpdate(id, "s-" + id, at, Contract.WorkerState.READY);
+                    egress.acquire(egress.worker(id), new OutboundConnection.Handler() {
                         @Override
                         public void connected(OutboundConnection link) {
-                            egress.release(egress.target(id), link, true);
-                            sizes.add(egress.size());
+                            egress.release(egress.worker(id), link, true);
+                            sizes.add(egress.connectionCount());
                         }
 
                         @Override
@@ -137,11 +137,11 @@
                         public void disconnected(OutboundConnection link) {
                             sizes.add(Integer.MAX_VALUE);
                         }
-                    }, Egress.ANY);
+                    }, WorkerConnectionPool.REUSE_ANY);
                 });
                 assertTrue(sizes.take() <= 100 * ResourceBudget.MAX_WORKER_CONNECTION_SHARE + 1, "worker " + i);
             }
-            assertEquals(WORKERS, egress.targets());
+            assertEquals(WORKERS, egress.workerCount());
             assertEquals(0, invariants.counted("egress out of links"));
         } finally {
             loop.post(loop::stop);
@@ -151,7 +151,7 @@
 
     /** All of so many workers call at once while the loop has other things to do: all wait in the backlog, and are answered. */
     @Test
-    void callBacksOfSoManyWorkersAtOnceWaitInTheBacklog() throws Exception {
+    void simultaneousCallbacksWaitInTheBacklog() throws Exception {
         List<Socket> workers = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':2048")) {
             n.settle();
@@ -174,7 +174,7 @@
 
     /** Each of so many workers calls back on a connection of its own and keeps it, where there are fewer descriptors. */
     @Test
-    void callBacksOfSoManyWorkersFindAConnectionInTheirTurn() throws Exception {
+    void callbackConnectionsOverTheDescriptorLimitAreServed() throws Exception {
         List<Socket> workers = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':1024"); Socket client = n.connect()) {
             say(client, job("c1"));
--- a/node/src/test/java/hookweir/net/LeavingWorkersTest.java
+++ b/node/src/test/java/hookweir/net/LeavingWorkersTest.java
@@ -145,12 +145,12 @@
     @ParameterizedTest
     @EnumSource(News.class)
     void jobsThatWaitForAFreeConnectionAreNotSent(News news) throws Exception {
-        try (CrowdedLinks crowd = new CrowdedLinks()) {
-            news.tell(crowd.node.watch, many(crowd.node, crowd.door, "SERVING", CrowdedLinks.WORKERS));
+        try (CrowdedConnections crowd = new CrowdedConnections()) {
+            news.tell(crowd.node.watch, many(crowd.node, crowd.workerListener, "SERVING", CrowdedConnections.WORKERS));
             crowd.gate.countDown();
-            crowd.node.awaitCount("attempts CONNECT_FAILED", CrowdedLinks.WORKERS);
-            assertEquals(crowd.dials, crowd.dials());
-            assertEquals("", sentTo(crowd.door, crowd.node));
+            crowd.node.awaitCount("attempts CONNECT_FAILED", CrowdedConnections.WORKERS);
+            assertEquals(crowd.connectCount, crowd.connectCount());
+            assertEquals("", sentTo(crowd.workerListener, crowd.node));
         }
     }
 
--- a/node/src/test/java/hookweir/net/LinkPool.java
+++ b/node/src/test/java/hookweir/net/LinkPool.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 
 import hookweir.Contract;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 import hookweir.room.ResourceBudget;
 import java.io.IOException;
@@ -28,7 +28,7 @@
     final Bare bare = new Bare();
     final ServerSocket door = new ServerSocket(0, 5, HERE);
     final Invariants invariants = new Invariants();
-    final Egress egress;
+    final WorkerConnectionPool egress;
     final BlockingQueue<OutboundConnection> up = new LinkedBlockingQueue<>();
     final OutboundConnection.Handler recorder = new Silent() {
         @Override
@@ -44,12 +44,12 @@
     LinkPool(int descriptors) throws Exception {
         ResourceBudget room = new ResourceBudget(1 << 20, 100);
         room.setMaxDescriptors(descriptors);
-        egress = new Egress(bare.loop, bare.dialer, invariants, 20_000_000, 20_000_000, room, () -> 0);
-        bare.loop.post(() -> egress.told(1, "s-01", new InetSocketAddress(HERE, door.getLocalPort()), Contract.WorkerState.READY));
+        egress = new WorkerConnectionPool(bare.loop, bare.dialer, invariants, 20_000_000, 20_000_000, room, () -> 0);
+        bare.loop.post(() -> egress.applyUpdate(1, "s-01", new InetSocketAddress(HERE, door.getLocalPort()), Contract.WorkerState.READY));
     }
 
     void link() {
-        bare.loop.post(() -> egress.link(egress.target(1), recorder, Egress.SETTLED));
+        bare.loop.post(() -> egress.acquire(egress.worker(1), recorder, WorkerConnectionPool.REUSE_SETTLED));
     }
 
     /** Accepts whatever is dialled, until the door is closed. */
@@ -77,19 +77,19 @@
     }
 
     private void begin(int workers, Random random, CountDownLatch over) {
-        WorkerEndpoint target = egress.target(1 + random.nextInt(workers));
-        egress.link(target, new Silent() {
+        WorkerEndpoint target = egress.worker(1 + random.nextInt(workers));
+        egress.acquire(target, new Silent() {
             @Override
             public void connected(OutboundConnection link) {
                 bare.loop.post(() -> {
-                    egress.settles(target, link, true);
+                    egress.releaseWithReuseDelay(target, link, true);
                     over.countDown();
                     if (over.getCount() > 0) {
                         begin(workers, random, over);
                     }
                 });
             }
-        }, Egress.SETTLED);
+        }, WorkerConnectionPool.REUSE_SETTLED);
     }
 
     /** Of two calls one waits for the link to settle, and the other dials. */
--- a/node/src/test/java/hookweir/net/LinksTest.java
+++ b/node/src/test/java/hookweir/net/LinksTest.java
@@ -10,7 +10,7 @@
 
 import com.sun.management.UnixOperatingSystemMXBean;
 import hookweir.Contract;
-import hookweir.net.worker.Egress;
+import hookweir.net.worker.WorkerConnectionPool;
 import java.io.InputStream;
 import java.lang.management.ManagementFactory;
 import java.net.InetAddress;
@@ -195,7 +195,7 @@
             OutboundConnection first = pool.up.take();
             long now = System.nanoTime();
             pool.bare.clock = () -> now;
-            pool.bare.loop.post(() -> pool.egress.settles(pool.egress.target(1), first, true));
+            pool.bare.loop.post(() -> pool.egress.releaseWithReuseDelay(pool.egress.worker(1), first, true));
             pool.settlesForOne(first);
         }
     }
@@ -212,7 +212,7 @@
             long now = System.nanoTime();
             pool.bare.clock = () -> now;
             for (OutboundConnection link : all) {
-                pool.bare.loop.post(() -> pool.egress.settles(pool.egress.target(1), link, true));
+                pool.bare.loop.post(() -> pool.egress.releaseWithReuseDelay(pool.egress.worker(1), link, true));
             }
             pool.link();
             assertTrue(all.contains(pool.up.take()), "no dial, and no wait");
@@ -225,8 +225,8 @@
     void aLinkThatCarriedACheckThatFailedSettlesToo() throws Exception {
         try (LinkPool pool = new LinkPool()) {
             CountDownLatch ended = new CountDownLatch(1);
-            pool.bare.loop.post(() -> new HttpCall(pool.bare.loop, pool.egress, pool.invariants, 20_000_000, pool.egress.target(1), "GET", "/healthz",
-                    Egress.SETTLED) {
+            pool.bare.loop.post(() -> new HttpCall(pool.bare.loop, pool.egress, pool.invariants, 20_000_000, pool.egress.worker(1), "GET", "/healthz",
+                    WorkerConnectionPool.REUSE_SETTLED) {
                 @Override
                 public void connected(OutboundConnection link) {
                     pool.up.add(link);
--- a/node/src/test/java/hookweir/net/LoadTest.java
+++ b/node/src/test/java/hookweir/net/LoadTest.java
@@ -191,7 +191,7 @@
         Files.writeString(config, "{'listen':'127.0.0.1:0','discovery':'127.0.0.1:9','settings':{'classes':[{'name':'a'}]}}".replace('\'', '"'));
         File log = folder.resolve("log").toFile();
         Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-Xmx24m", "-cp",
-            System.getProperty("java.class.path"), DyingNode.class.getName(), config.toString()).redirectErrorStream(true).redirectOutput(log).start();
+            System.getProperty("java.class.path"), OutOfMemoryNode.class.getName(), config.toString()).redirectErrorStream(true).redirectOutput(log).start();
         assertTrue(p.waitFor(30, TimeUnit.SECONDS));
         String said = Files.readString(log.toPath());
         assertEquals(Node.EXIT_FATAL_ERROR, p.exitValue(), said);
--- a/node/src/test/java/hookweir/net/DyingNode.java
+++ b/node/src/test/java/hookweir/net/OutOfMemoryNode.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /** A scheduler whose loop runs out of memory as soon as it serves. */
-final class DyingNode {
-    private DyingNode() {
+final class OutOfMemoryNode {
+    private OutOfMemoryNode() {
     }
 
     /** Serves with the configuration named. */
--- a/node/src/test/java/hookweir/net/ParsersTest.java
+++ b/node/src/test/java/hookweir/net/ParsersTest.java
@@ -9,12 +9,12 @@
 import hookweir.Contract;
 import hookweir.config.ConfigReader;
 import hookweir.config.InvalidSettingException;
-import hookweir.net.discovery.Lines;
+import hookweir.net.discovery.LineSplitter;
 import hookweir.net.discovery.ListUpdate;
 import hookweir.net.server.Callback;
 import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestParser;
-import hookweir.net.worker.LoadReport;
+import hookweir.net.worker.LoadReportParser;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -38,7 +38,7 @@
     private static final String LIST = "{\"version\":41,\"full\":true,\"servers\":[" + ENTRY + "]}";
     private final Invariants invariants = new Invariants();
     private final RequestParser requests = new RequestParser(java.util.Map.of("render", 0), List.of(new Contract.RequestClass()), java.util.Map.of());
-    private final LoadReport loads = new LoadReport(new String[] {"x0", "utilization"});
+    private final LoadReportParser loads = new LoadReportParser(new String[] {"x0", "utilization"});
 
     /** A copy of the text with some bytes overwritten. */
     private static byte[] garbled(String text, List<Integer> noise) {
@@ -64,7 +64,7 @@
     @Property(seed = "11", tries = 300)
     void linesComeWholeHoweverCut(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) {
         List<String> got = new ArrayList<>();
-        Lines lines = new Lines(500, line -> got.add(line == null ? "too long" : new String(line, StandardCharsets.UTF_8)));
+        LineSplitter lines = new LineSplitter(500, line -> got.add(line == null ? "too long" : new String(line, StandardCharsets.UTF_8)));
         String text = LIST + "\n\n" + "x".repeat(501) + "\n" + ENTRY + "\nrest";
         pieces(text.getBytes(StandardCharsets.UTF_8), lengths).forEach(lines::feed);
         assertEquals(List.of(LIST, "", "too long", ENTRY), got);
@@ -74,7 +74,7 @@
     @Property(seed = "13", tries = 300)
     void indentedAndCutObjectsComeApart(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) throws Exception {
         List<String> got = new ArrayList<>();
-        Lines lines = new Lines(5000, line -> got.add(new String(line, StandardCharsets.UTF_8)));
+        LineSplitter lines = new LineSplitter(5000, line -> got.add(new String(line, StandardCharsets.UTF_8)));
         var json = new com.fasterxml.jackson.databind.ObjectMapper();
         String compact = json.readTree(LIST).toString();
         String indented = json.writerWithDefaultPrettyPrinter().writeValueAsString(json.readTree(LIST)).replace("\n", "");
@@ -149,8 +149,8 @@
         Callback told = Callback.parse(garbled("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
         assertTrue(told == null || told.id() != null && told.workerId() != null && told.state() != null);
         for (String text : List.of("x0=2,utilization=0.61", "{\"x0\":2,\"utilization\":0.61}")) {
-            assertEquals(0.61, loads.ofBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
-            Contract.Report r = loads.ofBody(garbled(text, noise));
+            assertEquals(0.61, loads.parseBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
+            Contract.Report r = loads.parseBody(garbled(text, noise));
             assertTrue(r == null || !Double.isInfinite(r.freeSlots) && !Double.isInfinite(r.utilization));
         }
     }
--- a/node/src/test/java/hookweir/net/FramingTest.java
+++ b/node/src/test/java/hookweir/net/RequestDecoderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What is framed beyond doubt passes however cut; anything else is a fault, with nothing read after it. */
-class FramingTest {
+class RequestDecoderTest {
     private static final String PLAIN = "POST /api/7f?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id: 1\r\nContent-Length: 4\r\n\r\nwork";
     private static final String CHUNKED = "POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: 1\r\n\r\n";
     private static final String BARE = "GET /healthz HTTP/1.0\r\n\r\n";
@@ -52,14 +52,14 @@
     }
 
     @Property(seed = "21", tries = 300)
-    void messagesEndWhereTheyEndHoweverCut(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> lengths) {
+    void messageEndsAreFoundInAnyChunking(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> lengths) {
         RequestDecoder f = new RequestDecoder();
         assertEquals(4, read(f, (PLAIN + CHUNKED + BARE + PLAIN).getBytes(StandardCharsets.US_ASCII), lengths));
         assertFalse(f.isMidMessage());
     }
 
     @Property(seed = "22", tries = 1000)
-    void garbageIsSurvived(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise,
+    void corruptedInputDoesNotThrow(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise,
             @ForAll @Size(max = 20) List<@IntRange(min = 1, max = 30) Integer> lengths) {
         byte[] bytes = (CHUNKED + PLAIN).getBytes(StandardCharsets.US_ASCII);
         for (int n : noise) {
@@ -77,19 +77,19 @@
         "400, 'Transfer-Encoding: gzip, chunked'", "400, 'Transfer-Encoding: chunkedx'", "400, 'Content-Length : 4'",
         "400, 'A: b| c'", "400, 'no header'", "400, 'A: b\u0001'", "400, 'A\u00e4: b'","400, 'Upgrade: h2c|Upgrade: x'", "400, 'Req-Id: 1|Req-Id: 2'",
         "400, 'Host: other'", "417, 'Expect: wonders'"})
-    void doubtfulHeadsAreFaults(int status, String headers) {
+    void ambiguousHeadersAreRejected(int status, String headers) {
         assertEquals(-status, read("POST /api HTTP/1.1\r\nHost: h\r\n" + headers.replace("|", "\r\n") + "\r\n\r\nwork"));
     }
 
     @ParameterizedTest
     @CsvSource({"400, 'POST /a b HTTP/1.1'", "400, 'POST /a%zz HTTP/1.1'", "400, 'POST /a\u00ff HTTP/1.1'", "400, 'POST a HTTP/1.1'", "400, 'POST /a'",
         "405, 'BREW /a HTTP/1.1'", "505, 'POST /a HTTP/2.0'", "400, ''"})
-    void doubtfulFirstLinesAreFaults(int status, String line) {
+    void malformedRequestLinesAreRejected(int status, String line) {
         assertEquals(-status, read(line + "\r\nHost: h\r\n\r\n"));
     }
 
     @Test
-    void bareLineEndsAndEndlessHeadsAreFaults() {
+    void bareLineFeedsAndOversizedHeadsAreRejected() {
         assertEquals(-400, read("POST /api HTTP/1.1\nHost: h\n\n"));
         assertEquals(-400, read("POST /api HTTP/1.1\r\nHost: h\rA: b\r\n\r\n"));
         assertEquals(-400, read("POST /api HTTP/1.1\r\n\r\n")); // no host
--- a/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
+++ b/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
@@ -29,7 +29,7 @@
     @ValueSource(strings = {
         "{'addr':'127.0.0.1:81','state':'SERVING'}", "{'id':'s-02','state':'SERVING'}", "{'id':'s-02','addr':'here','state':'SERVING'}",
         "{'id':'s-02','addr':'127.0.0.1:81','state':'ASLEEP'}", "{'id':'s-02','addr':'127.0.0.1:81'}", "7", "null", "[]"})
-    void anEntryThatCannotBeReadIsLeftOutAndTheRestUsed(String bad) {
+    void unreadableEntryIsSkipped(String bad) {
         ListUpdate u = parse(bad + "," + GOOD);
         assertEquals(List.of("s-01"), u.entries().stream().map(ListUpdate.Entry::name).toList());
         assertEquals(1, invariants.counted("discovery bad entry"));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void ofTwoEntriesForOneIdTheLaterHolds() {
+    void laterOfTwoEntriesForOneIdWins() {
         ListUpdate u = parse(GOOD + "," + entry("s-01", "DRAINING"));
         assertEquals(1, u.entries().size());
         assertEquals(hookweir.Contract.WorkerState.DRAINING, u.entries().get(0).worker().state);
@@ -45,15 +45,15 @@
     }
 
     @Test
-    void aWholeListThatCannotBeReadIsNoEmptyFleet() {
+    void unreadableWholeListIsIgnored() {
         assertNotNull(parse(GOOD));
         assertNull(parse(entry("s-01", "ASLEEP") + "," + entry("s-02", "ASLEEP")));
-        assertEquals(1, parser.size(), "the list as held stands");
+        assertEquals(1, parser.workerCount(), "the list as held stands");
         assertEquals(0, parse("").entries().size(), "an empty list is what it says");
     }
 
     @Test
-    void aStartThatIsYetToComeIsNamed() {
+    void startTimeInTheFutureIsReported() {
         parse(GOOD.replace("'started_ms':0", "'started_ms':999"));
         assertEquals(0, invariants.counted("discovery start ahead"), "clocks differ by so much");
         parse(GOOD.replace("'started_ms':0", "'started_ms':3600000"));
@@ -61,16 +61,16 @@
     }
 
     @Test
-    void theSameFaultIsLoggedOnceAndTheMemoryOfThemIsBounded() {
+    void sameErrorIsLoggedOnceAndMemoryIsBounded() {
         for (int i = 0; i < 50; i++) {
             parse("{'id':'s-02'}," + GOOD);
         }
         assertEquals(50, invariants.counted("discovery bad entry"));
         assertEquals(1, invariants.counted("discovery complaints logged"));
-        for (int i = 0; i < Complaints.MOST; i++) {
+        for (int i = 0; i < ListErrorLog.MAX_REMEMBERED; i++) {
             parse("{'id':'x-" + i + "'}," + GOOD);
         }
         parse("{'id':'s-02'}," + GOOD);
-        assertEquals(Complaints.MOST + 2, invariants.counted("discovery complaints logged"), "forgotten after so many others");
+        assertEquals(ListErrorLog.MAX_REMEMBERED + 2, invariants.counted("discovery complaints logged"), "forgotten after so many others");
     }
 }
--- a/node/src/test/java/hookweir/net/discovery/WorkerIdsTest.java
+++ b/node/src/test/java/hookweir/net/discovery/WorkerIdsTest.java
@@ -37,14 +37,14 @@
             }
         }
         p.parse(list(200_000, true, stay.toString()));
-        assertEquals(10, p.size(), "workers numbered after the day");
+        assertEquals(10, p.workerCount(), "workers numbered after the day");
         assertEquals(steady, p.parse(list(200_001, true, stay.toString())).entries().get(0).worker().id,
             "a worker that stays keeps its number");
     }
 
     /** Two names of one number: the later moves on, and gets its own number back when it returns. */
     @Test
-    void aNumberTakenTwiceMovesOnAndIsFreedWithItsWorker() {
+    void collidingIdsGetDistinctNumbers() {
         ListUpdate.Parser p = new ListUpdate.Parser(new String[] {"a"}, new String[] {"m"}, new Invariants(), () -> 0);
         String first = "{\"id\":\"a-10\",\"addr\":\"127.0.0.1:1\",\"state\":\"SERVING\"}";
         String twin = "{\"id\":\"b-10\",\"addr\":\"127.0.0.1:2\",\"state\":\"SERVING\"}";
@@ -52,6 +52,6 @@
         assertNotEquals(both.get(0).worker().id, both.get(1).worker().id);
         p.parse(list(2, true, twin));
         assertEquals(both.get(1).worker().id, p.parse(list(3, true, twin)).entries().get(0).worker().id);
-        assertEquals(1, p.size());
+        assertEquals(1, p.workerCount());
     }
 }
