--- a/node/src/main/java/hookweir/net/discovery/LineSplitter.java
+++ b/node/src/main/java/hookweir/net/discovery/LineSplitter.java
@@ -6,9 +6,10 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of chunks, however cut, into lines. An object that is open at a line's end, as an indented one is, goes on in
- * the next line; an empty line, or one on which another object begins as a list does, shows that it was cut instead, and what
- * there is of it goes to the sink. A line over the limit is dropped and reported as null.
+ * Splits a stream of chunks into lines, wherever the chunk boundaries are. A JSON object that is still open at the end of a line,
+ * for example an indented one, continues on the next line. If an empty line follows instead, or a line that starts another list
+ * object, the open object was truncated, and the part received is passed to the sink. A line over the limit is dropped and
+ * reported as null.
  */
 public final class LineSplitter {
     private static final byte[] LIST_OBJECT_START = "{\"version\"".getBytes(StandardCharsets.US_ASCII);
@@ -17,31 +18,31 @@
     private final int maxBytes;
     private final Consumer<byte[]> sink;
     private LineBuffer line = new LineBuffer();
-    /** Bytes of it that are ended lines of an open object. */
+    /** How many bytes of {@link #line} are complete lines of an object that is still open. */
     private int openObjectBytes;
     private int depth;
     private boolean inString;
     private boolean escaped;
     private boolean tooLong;
 
-    /** Bytes that can be looked at in place. */
+    /** A byte buffer that can be compared and truncated in place. */
     private static final class LineBuffer extends ByteArrayOutputStream {
-        boolean containsAt(byte[] what, int at) {
-            return Arrays.equals(buf, at, Math.min(count, at + what.length), what, 0, what.length);
+        boolean containsAt(byte[] expected, int offset) {
+            return Arrays.equals(buf, offset, Math.min(count, offset + expected.length), expected, 0, expected.length);
         }
 
-        void truncate(int to) {
-            count = to;
+        void truncate(int length) {
+            count = length;
         }
     }
 
-    /** Lines of at most so many bytes go to the sink. */
-    public LineSplitter(int mostBytes, Consumer<byte[]> sink) {
-        this.maxBytes = mostBytes;
+    /** Creates a splitter that passes lines of at most {@code maxBytes} bytes to the sink. */
+    public LineSplitter(int maxBytes, Consumer<byte[]> sink) {
+        this.maxBytes = maxBytes;
         this.sink = sink;
     }
 
-    /** Takes the next chunk. */
+    /** Processes the next chunk. */
     public void feed(byte[] chunk) {
         for (byte b : chunk) {
             if (b == '\n') {
@@ -85,21 +86,21 @@
         emit();
     }
 
-    /** The open object was cut: it goes to the sink without the present line. */
+    /** Passes a truncated object to the sink, without the current line. */
     private void emitTruncated() {
         line.truncate(openObjectBytes);
         emit();
     }
 
     private void emit() {
-        byte[] whole = line.toByteArray();
+        byte[] complete = line.toByteArray();
         line = new LineBuffer();
-        boolean dropped = tooLong;
+        boolean wasTooLong = tooLong;
         tooLong = false;
         openObjectBytes = 0;
         depth = 0;
         inString = false;
         escaped = false;
-        sink.accept(dropped ? null : whole);
+        sink.accept(wasTooLong ? null : complete);
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/ListErrorLog.java
+++ b/node/src/main/java/hookweir/net/discovery/ListErrorLog.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * What could not be used of the list: each case is counted, and logged with its reason once, so that a faulty entry that comes
- * again with each list fills no log. It remembers the last {@link #MAX_REMEMBERED} cases; one that was forgotten is logged again.
+ * Reports invalid parts of the worker list. Each error is counted, and logged with its reason once, so that a faulty entry that
+ * comes with each list doesn't fill the log. Remembers the last {@link #MAX_REMEMBERED} errors; an older one is logged again.
  */
 final class ListErrorLog {
     static final int MAX_REMEMBERED = 256;
@@ -20,14 +20,14 @@
         this.invariants = invariants;
     }
 
-    /** Counts under the name, and logs the case where it is new; what the list said is cut short and kept to one line. */
-    void report(String counter, String what, String reason) {
+    /** Increments the counter, and logs the error if it is new; the faulty text is shortened and reduced to one line of ASCII. */
+    void report(String counter, String faultyText, String reason) {
         invariants.count(counter);
-        String shown = what.length() > MAX_SHOWN_CHARS ? what.substring(0, MAX_SHOWN_CHARS) + "..." : what;
-        String text = counter + ": " + shown.replaceAll("[^\\x20-\\x7e]", "?") + " " + reason;
-        if (logged.add(text)) {
+        String shown = faultyText.length() > MAX_SHOWN_CHARS ? faultyText.substring(0, MAX_SHOWN_CHARS) + "..." : faultyText;
+        String message = counter + ": " + shown.replaceAll("[^\\x20-\\x7e]", "?") + " " + reason;
+        if (logged.add(message)) {
             invariants.count("discovery complaints logged");
-            Log.line(text);
+            Log.line(message);
         }
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/ListUpdate.java
+++ b/node/src/main/java/hookweir/net/discovery/ListUpdate.java
@@ -15,21 +15,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * One object of the list: the whole of it, or the entries that changed.
+ * An object sent by the list service: the whole worker list, or the entries that changed.
  *
- * @param version the list's version
- * @param full it holds every worker that there is
+ * @param version the version of the list
+ * @param full whether the object contains all workers
  * @param entries the workers
  */
 public record ListUpdate(long version, boolean full, List<Entry> entries) {
-    /** A worker for the module, with its name and address for the sockets. */
+    /** A worker as the scheduling module sees it, with its name and address for connections. */
     public record Entry(String name, InetSocketAddress address, Worker worker) {
     }
 
-    /** Makes updates of JSON. Numbers zones and kinds by the settings' names, and ids while they are listed. */
+    /** Parses updates from JSON. Numbers zones and kinds by their position in the settings, and workers while they are listed. */
     public static final class Parser {
         private static final ObjectMapper JSON = new ObjectMapper();
-        /** Clocks of one fleet differ by less. */
+        /** The clocks of one fleet differ by less than this. */
         private static final long MAX_CLOCK_SKEW_US = 1_000_000;
 
         private final NameNumbers zones;
@@ -39,9 +39,9 @@
         private final LongSupplier nowUs;
 
         /**
-         * With the settings' names.
+         * Creates a parser with the names of zones and kinds from the settings.
          *
-         * @param nowUs the clock that all machines read, Unix time in µs
+         * @param nowUs the wall clock, Unix time in µs
          */
         public Parser(String[] zones, String[] kinds, Invariants invariants, LongSupplier nowUs) {
             this.nowUs = nowUs;
@@ -50,7 +50,7 @@
             errorLog = new ListErrorLog(invariants);
         }
 
-        /** Workers numbered now: those listed, by the last whole list and the changes since. */
+        /** Returns the number of workers listed by the last whole list and the changes since. */
         public int workerCount() {
             return ids.size();
         }
@@ -59,78 +59,80 @@
             return errorLog;
         }
 
-        /** Parses one line; null, and a count, where it is no such object. */
+        /** Parses one line; returns null and reports an error if it is not a valid list object. */
         public ListUpdate parse(byte[] line) {
             try {
                 return parse(JSON.readTree(line));
             } catch (IOException e) {
-                errorLog.report("discovery bad line", new String(line, StandardCharsets.ISO_8859_1), "is no JSON");
+                errorLog.report("discovery bad line", new String(line, StandardCharsets.ISO_8859_1), "is not valid JSON");
                 return null;
             }
         }
 
         /**
-         * Takes one object; null, and a complaint, where it is none, or is a whole list none of whose entries can be read: a
-         * fleet is not empty by mistake. Single entries that can't be used are left out; of two for one id the later holds.
+         * Converts one object; returns null and reports an error if it is not a valid list object, or if it has entries but none of
+         * them is valid, so that a faulty list is not taken for an empty fleet. Single invalid entries are skipped; of two
+         * entries for one id the later is used.
          */
-        public ListUpdate parse(JsonNode o) {
-            if (o == null || !o.path("version").isIntegralNumber() || !o.path("servers").isArray()) {
-                errorLog.report("discovery bad line", String.valueOf(o), "lacks a whole 'version' or a list 'servers'");
+        public ListUpdate parse(JsonNode object) {
+            if (object == null || !object.path("version").isIntegralNumber() || !object.path("servers").isArray()) {
+                errorLog.report("discovery bad line", String.valueOf(object), "lacks an integer 'version' or an array 'servers'");
                 return null;
             }
             Map<String, Entry> byName = new LinkedHashMap<>();
-            for (JsonNode one : o.get("servers")) {
-                Entry e = parseEntry(one);
-                if (e != null && byName.remove(e.name()) != null) {
-                    errorLog.report("discovery entry twice", e.name(), "is listed twice in one object; the later holds");
+            for (JsonNode node : object.get("servers")) {
+                Entry entry = parseEntry(node);
+                if (entry != null && byName.remove(entry.name()) != null) {
+                    errorLog.report("discovery entry twice", entry.name(), "is listed twice in one object; the later entry is used");
                 }
-                if (e != null) {
-                    byName.put(e.name(), e);
+                if (entry != null) {
+                    byName.put(entry.name(), entry);
                 }
             }
             List<Entry> entries = List.copyOf(byName.values());
-            if (entries.isEmpty() && !o.get("servers").isEmpty()) {
-                errorLog.report("discovery bad line", "version " + o.get("version").asLong(), "has no entry that can be read");
+            if (entries.isEmpty() && !object.get("servers").isEmpty()) {
+                errorLog.report("discovery bad line", "version " + object.get("version").asLong(), "has no valid entry");
                 return null;
             }
-            boolean full = o.path("full").asBoolean(false);
+            boolean full = object.path("full").asBoolean(false);
             if (full) {
-                ids.retainOnly(entries.stream().filter(e -> e.worker().state != WorkerState.GONE).map(Entry::name)
+                ids.retainOnly(entries.stream().filter(entry -> entry.worker().state != WorkerState.GONE).map(Entry::name)
                     .collect(java.util.stream.Collectors.toSet()));
             }
-            entries.stream().filter(e -> e.worker().state == WorkerState.GONE).forEach(e -> ids.remove(e.name()));
-            return new ListUpdate(o.get("version").asLong(), full, entries);
+            entries.stream().filter(entry -> entry.worker().state == WorkerState.GONE).forEach(entry -> ids.remove(entry.name()));
+            return new ListUpdate(object.get("version").asLong(), full, entries);
         }
 
-        /** Null, and a complaint, where the entry can't be used. */
-        private Entry parseEntry(JsonNode one) {
-            String text = one.path("state").asText();
-            WorkerState state = switch (text) {
+        /** Parses one entry; returns null and reports an error if it is invalid. */
+        private Entry parseEntry(JsonNode node) {
+            String stateText = node.path("state").asText();
+            WorkerState state = switch (stateText) {
                 case "SERVING" -> WorkerState.READY;
                 case "DRAINING" -> WorkerState.DRAINING;
                 case "DELETED" -> WorkerState.GONE;
                 default -> null;
             };
-            String name = one.path("id").asText();
-            InetSocketAddress address = ConfigReader.parseAddress(one.path("addr").asText());
-            String fault = name.isEmpty() ? "has no 'id'" : state == null ? "has the unknown 'state' '" + text + "'"
+            String name = node.path("id").asText();
+            InetSocketAddress address = ConfigReader.parseAddress(node.path("addr").asText());
+            String fault = name.isEmpty() ? "has no 'id'" : state == null ? "has the unknown 'state' '" + stateText + "'"
                 : address == null && state != WorkerState.GONE ? "has no 'addr' of the form ADDRESS:PORT" : null;
             if (fault != null) {
-                errorLog.report("discovery bad entry", one.toString(), fault);
+                errorLog.report("discovery bad entry", node.toString(), fault);
                 return null;
             }
-            Worker w = new Worker();
-            w.id = ids.idOf(name);
-            w.state = state;
-            w.startedAtUs = Math.max(0, one.path("started_ms").asLong(0)) * 1000;
-            if (w.startedAtUs > nowUs.getAsLong() + MAX_CLOCK_SKEW_US) {
-                errorLog.report("discovery start ahead", name, "has 'started_ms' " + w.startedAtUs / 1000 + ", which is yet to come; now holds");
+            Worker worker = new Worker();
+            worker.id = ids.idOf(name);
+            worker.state = state;
+            worker.startedAtUs = Math.max(0, node.path("started_ms").asLong(0)) * 1000;
+            if (worker.startedAtUs > nowUs.getAsLong() + MAX_CLOCK_SKEW_US) {
+                errorLog.report("discovery start ahead", name, "has 'started_ms' " + worker.startedAtUs / 1000
+                    + ", which is in the future; the worker counts as started now");
             }
-            w.zone = zones.numberOf(one.path("zone").asText());
-            w.kind = kinds.numberOf(one.path("kind").asText());
-            w.cell = one.path("cell").asInt(0);
-            w.size = one.path("weight").asDouble(1);
-            return new Entry(name, address, w);
+            worker.zone = zones.numberOf(node.path("zone").asText());
+            worker.kind = kinds.numberOf(node.path("kind").asText());
+            worker.cell = node.path("cell").asInt(0);
+            worker.size = node.path("weight").asDouble(1);
+            return new Entry(name, address, worker);
         }
     }
 }
--- a/node/src/main/java/hookweir/net/discovery/NameNumbers.java
+++ b/node/src/main/java/hookweir/net/discovery/NameNumbers.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Numbers of names: their places in the settings; a name that these lack gets the next number. */
+/** Numbers names by their position in the settings; a name that is not there gets the next free number. */
 final class NameNumbers {
     private final Map<String, Integer> numbers = new HashMap<>();
 
--- a/node/src/main/java/hookweir/net/discovery/WorkerIds.java
+++ b/node/src/main/java/hookweir/net/discovery/WorkerIds.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * Numbers of workers for the module: the hex digits of their ids, so that all schedulers number them alike. It holds the
- * workers that discovery lists now, no more: one that is deleted, or missing from a whole list, is forgotten, so that
- * days of replaced workers don't fill the heap. One that comes back is numbered anew, by the same digits.
+ * Numeric ids of workers for the scheduling module, taken from the hex digits of their names so that all schedulers use the same
+ * ids. Holds only the workers that are currently listed: one that is deleted, or missing from a whole list, is removed, so that
+ * replaced workers don't fill the heap over days. A worker that returns gets an id again from the same digits.
  */
 final class WorkerIds {
     private final Map<String, Integer> ids = new HashMap<>();
@@ -18,35 +18,35 @@
         if (known != null) {
             return known;
         }
-        int n;
+        int id;
         try {
-            n = Integer.parseUnsignedInt(name.substring(name.lastIndexOf('-') + 1), 16);
+            id = Integer.parseUnsignedInt(name.substring(name.lastIndexOf('-') + 1), 16);
         } catch (NumberFormatException e) {
-            n = name.hashCode();
+            id = name.hashCode();
         }
-        while (names.containsKey(n)) {
-            n++; // two names of one number: the later one moves on
+        while (names.containsKey(id)) {
+            id++; // two names with the same number: the later one takes the next free number
         }
-        names.put(n, name);
-        ids.put(name, n);
-        return n;
+        names.put(id, name);
+        ids.put(name, id);
+        return id;
     }
 
-    /** A worker that is gone: its number is free again once its deletion has been told. */
+    /** Removes a deleted worker; its id is free again. */
     void remove(String name) {
-        Integer n = ids.remove(name);
-        if (n != null) {
-            names.remove(n);
+        Integer id = ids.remove(name);
+        if (id != null) {
+            names.remove(id);
         }
     }
 
-    /** After a whole list: all but the listed are gone. */
+    /** Removes all workers that a whole list doesn't contain. */
     void retainOnly(Set<String> listed) {
         ids.keySet().removeIf(name -> !listed.contains(name));
         names.values().removeIf(name -> !listed.contains(name));
     }
 
-    /** Workers numbered now. */
+    /** Returns the number of workers that have an id. */
     int size() {
         return ids.size();
     }
--- a/node/src/main/java/hookweir/net/discovery/WorkerListClient.java
+++ b/node/src/main/java/hookweir/net/discovery/WorkerListClient.java
@@ -14,39 +14,43 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** The list's side: one watch at most, and single fetches, each on a link of its own. Belongs to the loop. */
+/**
+ * The client of the list service: keeps at most one watch, and fetches the whole list on request, each over its own connection.
+ * Used on the loop thread only.
+ */
 public final class WorkerListClient {
-    /** Told of what discovery says, on the loop. */
+    /** Receives the list and the failures of list calls, on the loop thread. */
     public interface Listener {
         /**
-         * News of the list.
+         * Called with a received list or change of it.
          *
-         * @param complete nothing before it was missed; else the whole list has been asked for and is yet to come
+         * @param complete whether no earlier change was missed; if one was, the whole list has been requested and has not arrived yet
          */
         void listReceived(ListUpdate update, boolean complete);
 
-        /** The list as held is the present one. */
+        /** Called when the list service confirms that the cached list is current. */
         void upToDate();
 
-        /** A call that was begun then failed, or the watch ended. */
+        /** Called when a list call that was started at this time failed, or the watch ended. */
         void listCallFailed(ListCallFailure failure, long startedUs);
     }
 
     private static final long CONNECT_TIMEOUT_US = 1_000_000;
     /**
-     * A call that is not answered by then is made again: all that is listed counts as told some seconds later. Services give up
-     * calls that wait for 1 to 2 s; one that is given up here before that still takes its turn there, for nobody.
+     * A call without a response by then is repeated, as a scheduler counts as notified of every listed change some seconds after it.
+     * Not shorter: the list service abandons calls that have waited for 1 to 2 s, and one abandoned here before that still takes its
+     * turn there.
      */
     private static final long RESPONSE_TIMEOUT_US = 2_200_000;
-    /** An agent on this machine answers at once or is silent; what it hears at its return counts as told at once. */
+    /** A local agent responds at once or not at all; once it is back, what it receives counts as notified at once. */
     private static final long AGENT_RESPONSE_TIMEOUT_US = 100_000;
-    /** An empty line comes every 2 s. What a silent watch misses counts as told 6 s later, which has to do for two tries. */
+    /** Heartbeats (empty lines) arrive every 2 s. Changes missed by a silent watch count as notified 6 s later: time for two tries. */
     private static final long WATCH_SILENCE_TIMEOUT_US = 2_600_000;
-    /** No list is held: the whole one is asked for. */
+    /** No list is cached; the whole list is requested. */
     public static final long UNKNOWN_VERSION = -1;
-    /** The list service has too many callers, or nothing to say yet: it may have news all the same. */
+    /** The list service has too many callers or nothing to report yet; the list may have changed all the same. */
     private static final int SERVICE_UNAVAILABLE = 503;
-    /** A call that waited in the list service's queue for a while was not refused, however it ended. */
+    /** A call that ends after more than this time was waiting in the list service's queue, so it does not count as refused. */
     private static final long REFUSAL_WINDOW_US = 200_000;
     private static final long US_PER_MS = 1_000;
     private static final int MAX_LINE_BYTES = 4 * 1024 * 1024;
@@ -57,21 +61,21 @@
     private final Invariants invariants;
     private final EventLog events;
     private final Listener listener;
-    /** Lists are pushed: the address is that of an agent. */
+    /** Whether lists are pushed, that is, the address is that of a local agent. */
     private final BooleanSupplier listPushed;
     private final Set<ListCall> fetches = new HashSet<>();
     private InetSocketAddress address;
     private ListCall watch;
-    /** Of the list as held, by the present address's count; unknown until it has sent a whole list. */
+    /** Version of the cached list, as counted by the current address; unknown until that has sent a whole list. */
     private long version = UNKNOWN_VERSION;
-    /** A line of the watch could not be read: what it told is yet to be asked for. */
+    /** Whether a line of the watch could not be parsed and the list has not been requested again yet. */
     private boolean missedUpdate;
 
-    public WorkerListClient(Loop loop, Connector dialer, InetSocketAddress address, ListUpdate.Parser parser,
-            Invariants invariants, EventLog events, BooleanSupplier pushed, Listener listener) {
-        this.listPushed = pushed;
+    public WorkerListClient(Loop loop, Connector connector, InetSocketAddress address, ListUpdate.Parser parser,
+            Invariants invariants, EventLog events, BooleanSupplier listPushed, Listener listener) {
+        this.listPushed = listPushed;
         this.loop = loop;
-        this.connector = dialer;
+        this.connector = connector;
         this.address = address;
         this.parser = parser;
         this.invariants = invariants;
@@ -79,42 +83,42 @@
         this.listener = listener;
     }
 
-    /** The list as it was last held. */
+    /** Sets the version of the cached worker list. */
     public void setKnownVersion(long knownVersion) {
         version = knownVersion;
     }
 
     /**
-     * Goes over to another address, if it is one, whatever the old one may still say. The list as held stands until the new one
-     * has sent a whole one; versions may be counted differently there.
+     * Switches to another address, and abandons all calls to the old one; does nothing if the address is the same. The cached list
+     * stays valid until the new address has sent a whole list, as versions may be counted differently there.
      */
-    public void moveTo(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
+        address = newAddress;
         version = UNKNOWN_VERSION;
         new ArrayList<>(fetches).forEach(ListCall::stop);
         watch(true);
     }
 
-    /** Where the list is asked for. */
+    /** Returns the address of the list service. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Starts or ends the watch. A second start asks anew: the old watch goes. */
-    public void watch(boolean on) {
+    /** Starts or stops the watch. Starting it again replaces the old watch. */
+    public void watch(boolean enabled) {
         if (watch != null) {
             watch.stop();
             watch = null;
         }
-        if (on && version == UNKNOWN_VERSION) {
+        if (enabled && version == UNKNOWN_VERSION) {
             watch = new ListCall(null, true);
-        } else if (on) {
+        } else if (enabled) {
             watch = new ListCall("watch=1&after=" + version, true);
         }
-        if (on) {
+        if (enabled) {
             watch.start();
         }
     }
@@ -124,7 +128,7 @@
         new ListCall(null, false).start();
     }
 
-    /** An empty line: nothing has changed since the line before. */
+    /** Handles an empty line: nothing has changed since the previous line. */
     private void handleHeartbeat() {
         boolean complete = isComplete();
         fetchIfMissed();
@@ -134,7 +138,7 @@
         }
     }
 
-    /** All changes up to the version held have been read. */
+    /** Returns whether all changes up to the cached version have been applied. */
     private boolean isComplete() {
         return !missedUpdate && version != UNKNOWN_VERSION;
     }
@@ -153,20 +157,20 @@
             missedUpdate = false;
         }
         if (update != null) {
-            boolean back = update.version() < version;
-            version = back && !update.full() ? UNKNOWN_VERSION : update.version();
+            boolean wentBack = update.version() < version;
+            version = wentBack && !update.full() ? UNKNOWN_VERSION : update.version();
             if (isComplete()) {
                 watch.confirmedList = true;
             }
             listener.listReceived(update, isComplete());
-            if (back) {
+            if (wentBack) {
                 handleVersionRegression(update);
             }
             fetchIfMissed();
         }
     }
 
-    /** A line that could not be read told of something that no later change repeats: the whole list is asked for. */
+    /** Requests the whole list if a line could not be parsed, as no later change repeats what it contained. */
     private void fetchIfMissed() {
         if (missedUpdate) {
             missedUpdate = false;
@@ -176,20 +180,20 @@
         }
     }
 
-    /** What it says was told and holds, but what it left out on its way back may be lost: the whole list is asked for. */
+    /** Requests the whole list after a change with a lower version: the change applies, but other changes may have been lost. */
     private void handleVersionRegression(ListUpdate update) {
-        parser.errorLog().report("discovery version went back", "to " + update.version(), "; the whole list is asked for");
+        parser.errorLog().report("discovery version went back", "to " + update.version(), "; requesting the whole list");
         if (version == UNKNOWN_VERSION) {
             watch(true);
         }
     }
 
-    /** One call: ends by its answer, by a failure, or by silence. */
+    /** One call to the list service: ends with its response, on a failure, or on silence. */
     private final class ListCall implements OutboundConnection.Handler {
         private final InetSocketAddress server = address;
-        /** Null for the whole list. */
+        /** The query string; null for the whole list. */
         private final String query;
-        /** A watch, or the whole list that one begins with. */
+        /** Whether the call is a watch, or the fetch of the whole list that precedes one. */
         private final boolean isWatch;
         private final LineSplitter lineSplitter = new LineSplitter(MAX_LINE_BYTES, WorkerListClient.this::handleLine);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -199,12 +203,12 @@
         private long partCount;
         private long startedUs;
         private boolean connected;
-        /** It is a watch that has brought the list, or said that it has not changed. */
+        /** Whether this watch has delivered the list, or confirmed that it has not changed. */
         private boolean confirmedList;
 
-        ListCall(String query, boolean watches) {
+        ListCall(String query, boolean isWatch) {
             this.query = query;
-            this.isWatch = watches;
+            this.isWatch = isWatch;
         }
 
         void start() {
@@ -217,15 +221,15 @@
             connection = connector.connect(server, CONNECT_TIMEOUT_US, this);
         }
 
-        /** Guards against a discovery machine that vanished: it leaves its connections open and mute. */
+        /** Detects a list service machine that vanished, which leaves its connections open and silent. */
         private void handleSilence() {
-            long heard = partCount;
-            // What lies unread, as this process had other things to do, is heard first.
+            long partsBefore = partCount;
+            // Input that has been received but not read yet, as this process was busy, is processed first.
             loop.afterIoRound(() -> {
-                if (!ended && heard == partCount) {
+                if (!ended && partsBefore == partCount) {
                     invariants.count("discovery silent");
-                    ListCallFailure notBrought = connected ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED;
-                    fail(confirmedList ? ListCallFailure.WATCH_SILENT : notBrought, partCount == 0 ? "no answer" : "silent");
+                    ListCallFailure unconfirmed = connected ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED;
+                    fail(confirmedList ? ListCallFailure.WATCH_SILENT : unconfirmed, partCount == 0 ? "no response" : "silent");
                 }
             });
         }
@@ -237,62 +241,62 @@
             fetches.remove(this);
         }
 
-        /** The list service ended it, or no connection came up. */
+        /** Fails the call after the list service ended it, or because the connection could not be established. */
         private void fail() {
             if (confirmedList) {
                 fail(ListCallFailure.WATCH_ENDED, "ended");
                 return;
             }
-            boolean atOnce = loop.nowUs() - startedUs < REFUSAL_WINDOW_US;
-            fail(connected && !atOnce ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, connected ? "ended" : "not connected");
+            boolean failedAtOnce = loop.nowUs() - startedUs < REFUSAL_WINDOW_US;
+            fail(connected && !failedAtOnce ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, connected ? "ended" : "not connected");
         }
 
-        private void fail(ListCallFailure failure, String how) {
+        private void fail(ListCallFailure failure, String outcome) {
             if (ended) {
                 return;
             }
             stop();
             watch = watch == this ? null : watch;
-            logOutcome(failure + ", " + how);
+            logOutcome(failure + ", " + outcome);
             listener.listCallFailed(failure, startedUs);
         }
 
-        private void logOutcome(String how) {
+        private void logOutcome(String outcome) {
             long tookMs = (loop.nowUs() - startedUs) / US_PER_MS;
-            events.log(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + OutboundConnection.hostHeader(server) + " over after " + tookMs
-                + " ms: " + how);
+            events.log(() -> "list call " + (query == null ? "for the whole list" : query) + " to " + OutboundConnection.hostHeader(server)
+                + ", after " + tookMs + " ms: " + outcome);
         }
 
         @Override
-        public void connected(OutboundConnection l) {
+        public void connected(OutboundConnection established) {
             connected = true;
-            l.sendRequest(l.requestHead("GET", "/v1/servers", query, OutboundConnection.hostHeader(server)), new byte[0], this);
+            established.sendRequest(established.requestHead("GET", "/v1/servers", query, OutboundConnection.hostHeader(server)), new byte[0], this);
         }
 
         @Override
-        public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
+        public void responsePart(OutboundConnection established, OutboundConnection.ResponsePart part) {
             if (ended) {
                 return;
             }
             partCount++;
             silenceTimer.cancel();
             silenceTimer = loop.schedule(query == null ? RESPONSE_TIMEOUT_US : WATCH_SILENCE_TIMEOUT_US, this::handleSilence);
-            if (piece.status() != 200) {
-                invariants.count("discovery status " + piece.status());
-                fail(piece.status() == SERVICE_UNAVAILABLE ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + piece.status());
+            if (part.status() != 200) {
+                invariants.count("discovery status " + part.status());
+                fail(part.status() == SERVICE_UNAVAILABLE ? ListCallFailure.UNANSWERED : ListCallFailure.REFUSED, "status " + part.status());
             } else if (query != null) {
                 if (partCount == 1) {
                     logOutcome("watch opened");
                 }
-                lineSplitter.feed(piece.bytes());
-                if (piece.isLast()) {
-                    fail(); // the line that it ends in, if any, was cut and is asked for again
+                lineSplitter.feed(part.bytes());
+                if (part.isLast()) {
+                    fail(); // an unfinished last line is truncated, and is requested again
                 }
             } else {
-                body.writeBytes(piece.bytes());
+                body.writeBytes(part.bytes());
                 if (body.size() > MAX_LINE_BYTES) {
                     fail();
-                } else if (piece.isLast()) {
+                } else if (part.isLast()) {
                     handleWholeList();
                 }
             }
@@ -314,7 +318,7 @@
         }
 
         @Override
-        public void disconnected(OutboundConnection l) {
+        public void disconnected(OutboundConnection closed) {
             fail();
         }
     }
--- a/node/src/main/java/hookweir/net/worker/ConnectionWaiter.java
+++ b/node/src/main/java/hookweir/net/worker/ConnectionWaiter.java
@@ -3,17 +3,17 @@
 import hookweir.net.OutboundConnection;
 import hookweir.timer.TimerWheel;
 
-/** A call that waits for a link to come free. */
+/** A call that waits for a free connection. */
 final class ConnectionWaiter {
     final WorkerEndpoint worker;
     final OutboundConnection.Handler handler;
     final double maxBreakRate;
-    /** Ends the wait. */
+    /** Fails the call if it waits too long. */
     TimerWheel.Timer timeoutTimer;
 
-    ConnectionWaiter(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
-        this.worker = target;
+    ConnectionWaiter(WorkerEndpoint worker, OutboundConnection.Handler handler, double maxBreakRate) {
+        this.worker = worker;
         this.handler = handler;
-        this.maxBreakRate = mostBreaks;
+        this.maxBreakRate = maxBreakRate;
     }
 }
--- a/node/src/main/java/hookweir/net/worker/IdleConnections.java
+++ b/node/src/main/java/hookweir/net/worker/IdleConnections.java
@@ -5,65 +5,65 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The idle links to all workers, in the order in which they were put aside. Belongs to the loop. */
+/** The idle connections to all workers, in the order in which they became idle. Used on the loop thread only. */
 final class IdleConnections {
-    /** A link and whose it is. */
+    /** An idle connection and its worker. */
     record Entry(WorkerEndpoint worker, OutboundConnection connection) {
     }
 
-    /** Those that carried a job, the one that was put aside longest ago first. */
+    /** Connections that have carried a job, longest idle first. */
     private final Map<OutboundConnection, WorkerEndpoint> usedByJobs = new LinkedHashMap<>();
-    /** Those that never carried one, in the same order: they are the first to make room. */
+    /** Connections that have never carried a job, longest idle first; these are evicted first. */
     private final Map<OutboundConnection, WorkerEndpoint> usedByProbesOnly = new LinkedHashMap<>();
 
-    /** Puts a link aside. */
-    void add(WorkerEndpoint target, OutboundConnection link) {
-        target.idleConnections.addFirst(link);
-        (link.duplicateResponseUntilUs > 0 ? usedByJobs : usedByProbesOnly).put(link, target);
+    /** Adds a connection that became idle. */
+    void add(WorkerEndpoint worker, OutboundConnection connection) {
+        worker.idleConnections.addFirst(connection);
+        (connection.duplicateResponseUntilUs > 0 ? usedByJobs : usedByProbesOnly).put(connection, worker);
     }
 
-    /** Takes this link out; nothing happens where it is not idle. */
-    void remove(WorkerEndpoint target, OutboundConnection link) {
-        if (target.idleConnections.peekLast() == link) {
-            target.idleConnections.pollLast();
+    /** Removes this connection; does nothing if it is not idle. */
+    void remove(WorkerEndpoint worker, OutboundConnection connection) {
+        if (worker.idleConnections.peekLast() == connection) {
+            worker.idleConnections.pollLast();
         } else {
-            target.idleConnections.remove(link);
+            worker.idleConnections.remove(connection);
         }
-        usedByJobs.remove(link);
-        usedByProbesOnly.remove(link);
+        usedByJobs.remove(connection);
+        usedByProbesOnly.remove(connection);
     }
 
     /**
-     * The newest link to this worker on which no second answer can come any more, which leaves the others to their end by age;
-     * else the one that rested longest; null where there is none that nobody waits for.
+     * Returns the newest unreserved connection to this worker on which no duplicate response can arrive any more, so that older
+     * ones reach their idle timeout; else the one that has been idle longest; null if there is no unreserved one.
      */
-    OutboundConnection chooseForReuse(WorkerEndpoint target, long nowUs) {
+    OutboundConnection chooseForReuse(WorkerEndpoint worker, long nowUs) {
         OutboundConnection oldest = null;
-        for (Iterator<OutboundConnection> it = target.idleConnections.descendingIterator(); it.hasNext() && oldest == null;) {
-            OutboundConnection link = it.next();
-            oldest = link.reserved ? null : link;
+        for (Iterator<OutboundConnection> iterator = worker.idleConnections.descendingIterator(); iterator.hasNext() && oldest == null;) {
+            OutboundConnection connection = iterator.next();
+            oldest = connection.reserved ? null : connection;
         }
         if (oldest == null || oldest.duplicateResponseUntilUs > nowUs) {
             return oldest;
         }
-        for (OutboundConnection link : target.idleConnections) {
-            if (!link.reserved && link.duplicateResponseUntilUs <= nowUs) {
-                return link;
+        for (OutboundConnection connection : worker.idleConnections) {
+            if (!connection.reserved && connection.duplicateResponseUntilUs <= nowUs) {
+                return connection;
             }
         }
         return oldest;
     }
 
-    /** The link that was put aside longest ago and that nobody waits for, one that never carried a job first; or null. */
+    /** Returns the unreserved connection that has been idle longest, preferring those that never carried a job; or null. */
     Entry chooseForEviction() {
-        Entry ofProbe = oldest(usedByProbesOnly);
-        return ofProbe == null ? oldest(usedByJobs) : ofProbe;
+        Entry probeOnly = oldest(usedByProbesOnly);
+        return probeOnly == null ? oldest(usedByJobs) : probeOnly;
     }
 
-    private static Entry oldest(Map<OutboundConnection, WorkerEndpoint> links) {
-        for (Map.Entry<OutboundConnection, WorkerEndpoint> e : links.entrySet()) {
-            if (!e.getKey().reserved) {
-                return new Entry(e.getValue(), e.getKey());
+    private static Entry oldest(Map<OutboundConnection, WorkerEndpoint> connections) {
+        for (Map.Entry<OutboundConnection, WorkerEndpoint> entry : connections.entrySet()) {
+            if (!entry.getKey().reserved) {
+                return new Entry(entry.getValue(), entry.getKey());
             }
         }
         return null;
--- a/node/src/main/java/hookweir/net/worker/LoadReportParser.java
+++ b/node/src/main/java/hookweir/net/worker/LoadReportParser.java
@@ -8,22 +8,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Reads load reports, as name=value pairs or as a JSON object, into the module's form. */
+/** Parses load reports, given as name=value pairs or as a JSON object, into the form of the scheduling module. */
 public final class LoadReportParser {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Figures of so many characters have no more digits than a double keeps. */
+    /** Numbers of at most this many characters have no more digits than a double represents exactly. */
     private static final int MAX_PLAIN_CHARS = 15;
     private static final double DECIMAL_BASE = 10;
 
     private final List<String> fields;
 
-    /** The settings name the fields that reports here have; others are passed over. */
+    /** Creates a parser for the report fields named in the settings; it ignores other fields. */
     public LoadReportParser(String[] fields) {
         this.fields = List.of(fields);
     }
 
-    /** A report from a body: JSON or pairs; null where it holds no figure. */
+    /** Parses a body, as JSON or as pairs; returns null if it holds no value. */
     public Report parseBody(byte[] body) {
         if (body.length > 0 && body[0] == '{') {
             try {
@@ -35,58 +35,58 @@
         return parsePairs(new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** A report from a header; null where it holds no figure. */
+    /** Parses a header of name=value pairs; returns null if it holds no value. */
     public Report parsePairs(String text) {
         if (text == null) {
             return null;
         }
         Report report = new Report();
         report.clear();
-        boolean any = false;
-        for (int from = 0, to; from < text.length(); from = to + 1) {
-            to = from;
-            while (to < text.length() && text.charAt(to) != ',' && !Character.isWhitespace(text.charAt(to))) {
-                to++;
+        boolean hasValue = false;
+        for (int start = 0, end; start < text.length(); start = end + 1) {
+            end = start;
+            while (end < text.length() && text.charAt(end) != ',' && !Character.isWhitespace(text.charAt(end))) {
+                end++;
             }
-            int eq = text.indexOf('=', from);
-            if (eq > from && eq < to) {
-                double value = parseNumber(text, eq + 1, to);
-                any |= !Double.isNaN(value) && setField(report, text.substring(from, eq), value);
+            int equals = text.indexOf('=', start);
+            if (equals > start && equals < end) {
+                double value = parseNumber(text, equals + 1, end);
+                hasValue |= !Double.isNaN(value) && setField(report, text.substring(start, equals), value);
             }
         }
-        return any ? report : null;
+        return hasValue ? report : null;
     }
 
-    /** A report from an object; null where it holds no figure. */
+    /** Parses a JSON object; returns null if it holds no value. */
     public Report parseJson(JsonNode object) {
         if (object == null || !object.isObject()) {
             return null;
         }
         Report report = new Report();
         report.clear();
-        boolean any = false;
+        boolean hasValue = false;
         for (String name : fields) {
-            any |= object.path(name).isNumber() && setField(report, name, object.path(name).doubleValue());
+            hasValue |= object.path(name).isNumber() && setField(report, name, object.path(name).doubleValue());
         }
-        return any ? report : null;
+        return hasValue ? report : null;
     }
 
-    /** A figure there: plain decimals at once, other forms by the library; NaN where it is no number, and counts as absent. */
-    private static double parseNumber(String text, int from, int to) {
+    /** Parses a number: plain decimals here, other forms by the library. Returns NaN for text that is no number, which counts as absent. */
+    private static double parseNumber(String text, int start, int end) {
         long whole = 0;
         double scale = 0;
-        for (int i = from; i < to; i++) {
+        for (int i = start; i < end; i++) {
             char c = text.charAt(i);
-            if (c >= '0' && c <= '9' && to - from <= MAX_PLAIN_CHARS) {
+            if (c >= '0' && c <= '9' && end - start <= MAX_PLAIN_CHARS) {
                 whole = 10 * whole + c - '0';
                 scale *= DECIMAL_BASE;
-            } else if (c == '.' && scale == 0 && to - from <= MAX_PLAIN_CHARS) {
+            } else if (c == '.' && scale == 0 && end - start <= MAX_PLAIN_CHARS) {
                 scale = 1;
             } else {
-                return parseWithLibrary(text.substring(from, to));
+                return parseWithLibrary(text.substring(start, end));
             }
         }
-        return to == from ? Double.NaN : scale == 0 ? whole : whole / scale;
+        return end == start ? Double.NaN : scale == 0 ? whole : whole / scale;
     }
 
     private static double parseWithLibrary(String text) {
@@ -97,7 +97,7 @@
         }
     }
 
-    private boolean setField(Report report, String name, double v) {
-        return fields.contains(name) && Double.isFinite(v) && ReportFields.set(report, name, v);
+    private boolean setField(Report report, String name, double value) {
+        return fields.contains(name) && Double.isFinite(value) && ReportFields.set(report, name, value);
     }
 }
--- a/node/src/main/java/hookweir/net/worker/ReuseWaitBudget.java
+++ b/node/src/main/java/hookweir/net/worker/ReuseWaitBudget.java
@@ -1,8 +1,8 @@
 package hookweir.net.worker;
 
 /**
- * A token bucket for waits on resting links. At a few calls a second each of them may wait; under load waits would bound the
- * throughput, so there are only so many.
+ * A token bucket that limits waits for the reuse delay of connections. At a few calls a second each of them may wait; under load
+ * unlimited waits would bound the throughput.
  */
 final class ReuseWaitBudget {
     private static final int MAX_TOKENS = 8;
@@ -11,7 +11,7 @@
     private double tokens = MAX_TOKENS;
     private long refilledUs;
 
-    /** Takes a token if there is one at this time. */
+    /** Takes a token if one is available at this time. */
     boolean tryTake(long nowUs) {
         tokens = Math.min(MAX_TOKENS, tokens + Math.max(0, nowUs - refilledUs) * TOKENS_PER_US);
         refilledUs = nowUs;
--- a/node/src/main/java/hookweir/net/worker/WorkerConnectionPool.java
+++ b/node/src/main/java/hookweir/net/worker/WorkerConnectionPool.java
@@ -17,30 +17,33 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 
-/** The workers' side: owns the egress targets and the links to them, at most so many. Belongs to the loop. */
+/**
+ * The pool of connections to workers, bounded by the descriptor budget. Holds the endpoint of each listed worker and its
+ * idle connections. Used on the loop thread only.
+ */
 public final class WorkerConnectionPool {
-    /** No kept link. */
+    /** Reuse no idle connection. */
     public static final double REUSE_NONE = -1;
-    /** Any kept link whose last call is surely over: a break does no harm. */
+    /** Reuse any idle connection on which no response to an earlier call can still arrive; a break under the call is harmless. */
     public static final double REUSE_SETTLED = 1;
-    /** Any kept link: another call's answer does no harm either. */
+    /** Reuse any idle connection; a response to an earlier call is harmless, too. */
     public static final double REUSE_ANY = 2;
     private static final long SWEEP_INTERVAL_US = 500_000;
     private static final double IDLE_TIMEOUT_SHARE = 0.9;
     private static final long IDLE_MARGIN_US = 1_000_000;
     private static final int MIN_IDLE_LIMIT = 8;
     private static final double BREAK_RATE_GAIN = 0.1;
-    /** A link rests for so long after an answer that could be a job's, where that is affordable. */
+    /** Delay before a connection is reused after a response that may be a job's, where the wait is affordable. */
     private static final long REUSE_DELAY_US = 30_000;
-    /** A second answer comes within this of the first, if it comes: until then an answer on the link may be another call's. */
+    /** A duplicate response arrives within this time of the first, if at all. Until then a response may belong to the previous call. */
     private static final long DUPLICATE_RESPONSE_WINDOW_US = 70_000;
-    /** Links to a worker that answered twice always rest, until it has not done so for this long. */
+    /** After a duplicate response, the worker's connections always wait for the full window until it has sent none for this long. */
     private static final long DUPLICATE_RESPONSE_MEMORY_US = 60_000_000;
-    /** Calls that wait for a free link, over all workers; beyond it a call gets none. */
+    /** Maximum number of calls that wait for a free connection, over all workers; further calls fail at once. */
     private static final int MAX_WAITING = 1024;
-    /** With so many that rest at one target its calls come so close that none is waited for. */
+    /** With this many idle connections to one worker, its calls follow each other too closely to wait for the reuse delay. */
     private static final int MIN_IDLE_TO_SKIP_WAIT = 4;
-    /** Links that were ended and linger: their descriptors come out of the process's own. */
+    /** Maximum number of connections that linger after a graceful close; their descriptors come from the process's reserve. */
     private static final int MAX_LINGERING = 16;
 
     private final Loop loop;
@@ -51,201 +54,212 @@
     private final Deque<ConnectionWaiter> waiting = new ArrayDeque<>();
     private boolean assignmentScheduled;
     private final ResourceBudget budget;
-    /** How many connections are accepted. */
+    /** Number of connections accepted from clients and workers. */
     private final IntSupplier acceptedCount;
-    private final Map<Integer, WorkerEndpoint> workerCount = new HashMap<>();
-    private final Set<OutboundConnection> open = new HashSet<>();
-    /** A running mean: the share of kept links that broke under their next call. */
+    private final Map<Integer, WorkerEndpoint> workers = new HashMap<>();
+    private final Set<OutboundConnection> openConnections = new HashSet<>();
+    /** Moving average of the share of reused connections that broke under their next call. */
     private double reusedBreakRate;
-    private int lingering;
-    private final IdleConnections idle = new IdleConnections();
+    private int lingeringCount;
+    private final IdleConnections idleConnections = new IdleConnections();
     private final ReuseWaitBudget reuseWaitBudget = new ReuseWaitBudget();
 
-    public WorkerConnectionPool(Loop loop, Connector dialer, Invariants invariants, long dialLimitUs, long connIdleUs, ResourceBudget room, IntSupplier accepted) {
+    public WorkerConnectionPool(Loop loop, Connector connector, Invariants invariants, long connectTimeoutUs, long connIdleUs, ResourceBudget budget,
+            IntSupplier acceptedCount) {
         this.loop = loop;
-        this.connector = dialer;
+        this.connector = connector;
         this.invariants = invariants;
-        this.budget = room;
-        this.acceptedCount = accepted;
-        setLimits(dialLimitUs, connIdleUs);
+        this.budget = budget;
+        this.acceptedCount = acceptedCount;
+        setLimits(connectTimeoutUs, connIdleUs);
     }
 
-    /** How long a dial may take, and when the worker's machine closes an idle link. */
-    public void setLimits(long newDialLimitUs, long connIdleUs) {
-        connectTimeoutUs = newDialLimitUs;
-        // A link is closed here before the worker's machine does so in silence: a call would end as a reset.
+    /**
+     * Applies new time limits.
+     *
+     * @param newConnectTimeoutUs how long a connect may take
+     * @param connIdleUs the idle time after which the worker's machine drops a connection
+     */
+    public void setLimits(long newConnectTimeoutUs, long connIdleUs) {
+        connectTimeoutUs = newConnectTimeoutUs;
+        // Closes before the worker's machine drops the connection silently, which would end the next call as a reset.
         idleTimeoutUs = (long) Math.max(connIdleUs * IDLE_TIMEOUT_SHARE / 2, Math.min(connIdleUs * IDLE_TIMEOUT_SHARE, connIdleUs - IDLE_MARGIN_US));
     }
 
-    /** Starts closing idle links in time. */
+    /** Starts the periodic sweep that closes connections before their idle timeout. */
     public void start() {
         loop.schedule(SWEEP_INTERVAL_US, this::sweep);
     }
 
-    /** The target of this number, or null. */
+    /** Returns the endpoint of the worker with this numeric id, or null. */
     public WorkerEndpoint worker(int id) {
-        return workerCount.get(id);
+        return workers.get(id);
     }
 
-    /** What the list says of a target. */
+    /** Applies an entry of the worker list. */
     public void applyUpdate(int id, String name, InetSocketAddress address, Contract.WorkerState state) {
         if (state == Contract.WorkerState.GONE) {
             remove(id);
         } else {
-            WorkerEndpoint t = workerCount.computeIfAbsent(id, k -> new WorkerEndpoint(name, id));
-            if (!address.equals(t.address())) {
-                closeIdle(t); // they lead elsewhere
+            WorkerEndpoint endpoint = workers.computeIfAbsent(id, k -> new WorkerEndpoint(name, id));
+            if (!address.equals(endpoint.address())) {
+                closeIdle(endpoint); // they lead to the old address
             }
-            t.update(address, state);
+            endpoint.update(address, state);
         }
     }
 
-    /** A whole list came: targets that it does not name are gone. */
-    public void retainOnly(Set<Integer> named) {
-        for (Integer id : new HashSet<>(workerCount.keySet())) {
-            if (!named.contains(id)) {
+    /** Removes all workers that a whole list doesn't name. */
+    public void retainOnly(Set<Integer> listed) {
+        for (Integer id : new HashSet<>(workers.keySet())) {
+            if (!listed.contains(id)) {
                 remove(id);
             }
         }
     }
 
     private void remove(int id) {
-        WorkerEndpoint t = workerCount.remove(id);
-        if (t != null) {
-            closeIdle(t);
-            t.update(t.address(), Contract.WorkerState.GONE);
+        WorkerEndpoint endpoint = workers.remove(id);
+        if (endpoint != null) {
+            closeIdle(endpoint);
+            endpoint.update(endpoint.address(), Contract.WorkerState.GONE);
         }
     }
 
-    private void closeIdle(WorkerEndpoint t) {
-        while (!t.idleConnections.isEmpty()) {
-            OutboundConnection link = t.idleConnections.peek();
-            idle.remove(t, link);
-            closeGracefully(link);
+    private void closeIdle(WorkerEndpoint endpoint) {
+        while (!endpoint.idleConnections.isEmpty()) {
+            OutboundConnection connection = endpoint.idleConnections.peek();
+            idleConnections.remove(endpoint, connection);
+            closeGracefully(connection);
         }
     }
 
     /**
-     * Gets a link to the target: the newest idle one on which no second answer can come any more, else the one that rested
-     * longest, else by a dial. A call waits for a link to rest where that is affordable; it rides one that does not where
-     * {@link OutboundConnection#duplicateResponseUntilUs} lets the caller tell whose an answer is.
+     * Gets a connection to the worker: the newest idle one on which no duplicate response can arrive any more, else the one
+     * that has been idle longest, else a new one. The call waits for the connection's reuse delay where that is affordable. Where
+     * it is not, it uses the connection at once, and the caller tells by {@link OutboundConnection#duplicateResponseUntilUs}
+     * whether a response may belong to the previous call.
      *
-     * @param mostBreaks the share of kept links that may break under their next call for one to be used all the
-     *     same; or {@link #REUSE_NONE}, {@link #REUSE_SETTLED}, {@link #REUSE_ANY}
-     * @return the link that is dialled or ready; null where it has to wait for one that others use, or that is yet to settle,
-     *     and is told when it gets it, or that it gets none in the time that a dial may take
+     * @param maxBreakRate the highest share of reused connections breaking under their next call at which a connection
+     *     is still reused; or {@link #REUSE_NONE}, {@link #REUSE_SETTLED}, {@link #REUSE_ANY}
+     * @return the connection, ready or connecting; null if the call has to wait for a connection in use or for a reuse delay. The
+     *     handler is then notified when it gets one, or when it got none within the connect timeout
      */
-    public OutboundConnection acquire(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
-        OutboundConnection rested = reusedBreakRate > mostBreaks ? null : chooseIdle(target);
+    public OutboundConnection acquire(WorkerEndpoint worker, OutboundConnection.Handler handler, double maxBreakRate) {
+        OutboundConnection candidate = reusedBreakRate > maxBreakRate ? null : chooseIdle(worker);
         long now = loop.nowUs();
-        if (rested != null && (rested.reuseAfterUs <= now || mostBreaks >= REUSE_ANY)) {
-            return reuse(target, rested, handler);
+        if (candidate != null && (candidate.reuseAfterUs <= now || maxBreakRate >= REUSE_ANY)) {
+            return reuse(worker, candidate, handler);
         }
-        boolean mustRest = target.sendsDuplicateResponses(now);
-        if (rested != null) {
-            boolean waits = mustRest || target.idleConnections.size() < MIN_IDLE_TO_SKIP_WAIT && reuseWaitBudget.tryTake(now);
-            if (!waits) {
-                return reuse(target, rested, handler);
+        boolean mustWait = worker.sendsDuplicateResponses(now);
+        if (candidate != null) {
+            boolean wait = mustWait || worker.idleConnections.size() < MIN_IDLE_TO_SKIP_WAIT && reuseWaitBudget.tryTake(now);
+            if (!wait) {
+                return reuse(worker, candidate, handler);
             }
-            waitForReuse(target, rested, handler, mostBreaks);
+            waitForReuse(worker, candidate, handler, maxBreakRate);
             return null;
         }
-        boolean mayDial = mayConnect();
-        OutboundConnection reserved = target.idleConnections.peekLast();
-        if (!mayDial && !mustRest && reusedBreakRate <= mostBreaks && reserved != null && reserved.isIdle()) {
-            return reuse(target, reserved, handler); // whoever waits for this one looks again
+        boolean canConnect = mayConnect();
+        OutboundConnection reserved = worker.idleConnections.peekLast();
+        if (!canConnect && !mustWait && reusedBreakRate <= maxBreakRate && reserved != null && reserved.isIdle()) {
+            return reuse(worker, reserved, handler); // the call that reserved it chooses again after its wait
         }
-        if (!mayDial && !evictIdle()) {
-            waitForFreeConnection(target, handler, mostBreaks);
+        if (!canConnect && !evictIdle()) {
+            waitForFreeConnection(worker, handler, maxBreakRate);
             return null;
         }
         invariants.count("egress dials");
-        OutboundConnection link = connector.connect(target.address(), connectTimeoutUs, handler);
-        open.add(link);
-        return link;
+        OutboundConnection connection = connector.connect(worker.address(), connectTimeoutUs, handler);
+        openConnections.add(connection);
+        return connection;
     }
 
-    /** What {@link IdleConnections#chooseForReuse} has, without what the worker ended unseen. */
-    private OutboundConnection chooseIdle(WorkerEndpoint target) {
-        OutboundConnection chosen = idle.chooseForReuse(target, loop.nowUs());
+    /** Returns the choice of {@link IdleConnections#chooseForReuse}, after closing those that the worker has already closed. */
+    private OutboundConnection chooseIdle(WorkerEndpoint worker) {
+        OutboundConnection chosen = idleConnections.chooseForReuse(worker, loop.nowUs());
         while (chosen != null && !chosen.isIdle()) {
-            idle.remove(target, chosen);
+            idleConnections.remove(worker, chosen);
             closeGracefully(chosen);
-            chosen = idle.chooseForReuse(target, loop.nowUs());
+            chosen = idleConnections.chooseForReuse(worker, loop.nowUs());
         }
         return chosen;
     }
 
-    /** At no cost to the worker, unlike a dial. Each call waits for a link of its own, and is looked at again before it goes. */
-    private void waitForReuse(WorkerEndpoint target, OutboundConnection own, OutboundConnection.Handler handler, double mostBreaks) {
+    /**
+     * Waits for the connection's reuse delay, which costs the worker nothing, unlike a new connection. Each call reserves its
+     * own connection, and chooses again after the wait.
+     */
+    private void waitForReuse(WorkerEndpoint worker, OutboundConnection connection, OutboundConnection.Handler handler, double maxBreakRate) {
         invariants.count("egress waits for rest");
-        own.reserved = true;
-        // After a whole round of I/O, so that news that lies unread as the link has rested is heard first.
-        loop.schedule(own.reuseAfterUs - loop.nowUs(), () -> loop.afterIoRound(() -> {
-            own.reserved = false;
-            acquireAfterWait(target, handler, mostBreaks);
+        connection.reserved = true;
+        // After a full I/O round, so that input already received when the delay ends is processed first.
+        loop.schedule(connection.reuseAfterUs - loop.nowUs(), () -> loop.afterIoRound(() -> {
+            connection.reserved = false;
+            acquireAfterWait(worker, handler, maxBreakRate);
         }));
     }
 
-    /** Gets a link for a call that had to wait for one, unless it is over by now or its worker leaves. */
-    private void acquireAfterWait(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
+    /** Gets a connection for a call that had to wait, unless the call has ended or its worker no longer takes work. */
+    private void acquireAfterWait(WorkerEndpoint worker, OutboundConnection.Handler handler, double maxBreakRate) {
         if (handler.needsConnection()) {
-            acquire(target, handler, mostBreaks);
+            acquire(worker, handler, maxBreakRate);
         } else {
             invariants.count("egress calls gone before their link");
-            connectionFreed(); // the place that it was given goes to the next that waits
+            connectionFreed(); // the next waiting call gets its place
         }
     }
 
-    private void waitForFreeConnection(WorkerEndpoint target, OutboundConnection.Handler handler, double mostBreaks) {
+    private void waitForFreeConnection(WorkerEndpoint worker, OutboundConnection.Handler handler, double maxBreakRate) {
         if (waiting.size() >= MAX_WAITING) {
             invariants.count("egress out of links");
             loop.post(handler::connectionUnavailable);
             return;
         }
         invariants.count("egress waits for a link");
-        ConnectionWaiter w = new ConnectionWaiter(target, handler, mostBreaks);
-        waiting.add(w);
-        w.timeoutTimer = loop.schedule(connectTimeoutUs, () -> {
-            waiting.remove(w);
+        ConnectionWaiter waiter = new ConnectionWaiter(worker, handler, maxBreakRate);
+        waiting.add(waiter);
+        waiter.timeoutTimer = loop.schedule(connectTimeoutUs, () -> {
+            waiting.remove(waiter);
             invariants.count("egress out of links");
             handler.connectionUnavailable();
         });
     }
 
     private boolean mayConnect() {
-        return budget.mayConnectToWorker(open.size(), acceptedCount.getAsInt());
+        return budget.mayConnectToWorker(openConnections.size(), acceptedCount.getAsInt());
     }
 
-    private OutboundConnection reuse(WorkerEndpoint target, OutboundConnection link, OutboundConnection.Handler handler) {
-        idle.remove(target, link);
-        link.reserved = false;
-        link.reused = true;
-        link.setIdleHandler(handler);
-        handler.connected(link);
-        return link;
+    private OutboundConnection reuse(WorkerEndpoint worker, OutboundConnection connection, OutboundConnection.Handler handler) {
+        idleConnections.remove(worker, connection);
+        connection.reserved = false;
+        connection.reused = true;
+        connection.setIdleHandler(handler);
+        handler.connected(connection);
+        return connection;
     }
 
     /**
-     * A link or its place came free: those who wait have it, the first to come first; but a link goes to whoever waits for
-     * its own target, as to end it for the sake of another's would cost a dial.
+     * Gives free connections and free capacity to the waiting calls in order of arrival. An idle connection goes first to a
+     * call for the same worker, as closing it for another worker's call would cost a new connection.
      */
     private void assignToWaiting() {
         assignmentScheduled = false;
-        for (ConnectionWaiter w : new ArrayList<>(waiting)) { // who is put back meanwhile, as its link died unseen, waits for another turn
-            if (!w.worker.idleConnections.isEmpty()) {
-                waiting.remove(w);
-                w.timeoutTimer.cancel();
-                acquireAfterWait(w.worker, w.handler, w.maxBreakRate);
+        // Over a copy: a call that is queued again, because its connection was dead, waits for the next turn.
+        for (ConnectionWaiter waiter : new ArrayList<>(waiting)) {
+            if (!waiter.worker.idleConnections.isEmpty()) {
+                waiting.remove(waiter);
+                waiter.timeoutTimer.cancel();
+                acquireAfterWait(waiter.worker, waiter.handler, waiter.maxBreakRate);
             }
         }
-        for (ConnectionWaiter w = waiting.peek(); w != null; w = waiting.peek()) {
-            if (w.worker.idleConnections.isEmpty() && !mayConnect() && !evictIdle()) {
+        for (ConnectionWaiter waiter = waiting.peek(); waiter != null; waiter = waiting.peek()) {
+            if (waiter.worker.idleConnections.isEmpty() && !mayConnect() && !evictIdle()) {
                 return;
             }
             waiting.remove();
-            w.timeoutTimer.cancel();
-            acquireAfterWait(w.worker, w.handler, w.maxBreakRate);
+            waiter.timeoutTimer.cancel();
+            acquireAfterWait(waiter.worker, waiter.handler, waiter.maxBreakRate);
         }
     }
 
@@ -256,142 +270,143 @@
         }
     }
 
-    /** Keeps to the descriptors that there are. */
+    /** Closes idle connections until the descriptor limit is kept. */
     public void enforceDescriptorLimit() {
         while (!mayConnect() && evictIdle()) {
             invariants.count("egress closed at the cap");
         }
     }
 
-    /** Ends the idle link that is missed least, of whichever worker. */
+    /** Closes the least valuable idle connection of any worker; returns false if there is none. */
     private boolean evictIdle() {
-        IdleConnections.Entry least = idle.chooseForEviction();
-        if (least == null) {
+        IdleConnections.Entry evicted = idleConnections.chooseForEviction();
+        if (evicted == null) {
             return false;
         }
-        idle.remove(least.worker(), least.connection());
-        closeGracefully(least.connection());
+        idleConnections.remove(evicted.worker(), evicted.connection());
+        closeGracefully(evicted.connection());
         return true;
     }
 
-    /** A call over this link came to an answer or broke: what kept links are worth is learnt by it. */
-    public void recordOutcome(OutboundConnection link, boolean broke) {
-        if (link.reused) {
+    /** Records whether a call over this connection got a response or broke, to estimate how often reused connections break. */
+    public void recordOutcome(OutboundConnection connection, boolean broke) {
+        if (connection.reused) {
             reusedBreakRate += BREAK_RATE_GAIN * ((broke ? 1 : 0) - reusedBreakRate);
-            link.reused = false;
+            connection.reused = false;
             if (broke) {
                 invariants.count("egress kept links broke");
             }
         }
     }
 
-    /** Takes a link back after a call; it is kept if it can carry another. */
-    public void release(WorkerEndpoint target, OutboundConnection link, boolean keepAlive) {
-        if (!keepAlive || !link.isIdle() || workerCount.get(target.id) != target) {
-            closeGracefully(link);
+    /** Takes a connection back after a call; it becomes idle if it can carry another call, else it is closed. */
+    public void release(WorkerEndpoint worker, OutboundConnection connection, boolean keepAlive) {
+        if (!keepAlive || !connection.isIdle() || workers.get(worker.id) != worker) {
+            closeGracefully(connection);
             return;
         }
-        link.idleSinceUs = loop.nowUs();
-        link.setIdleHandler(new OutboundConnection.Handler() {
+        connection.idleSinceUs = loop.nowUs();
+        connection.setIdleHandler(new OutboundConnection.Handler() {
             @Override
-            public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
-                // none comes without a call: see unasked
+            public void responsePart(OutboundConnection unused, OutboundConnection.ResponsePart part) {
+                // no response part arrives without a call: see unexpectedResponse
             }
 
             @Override
-            public void unexpectedResponse(OutboundConnection l, int status) {
-                duplicateResponse(target, l, status);
+            public void unexpectedResponse(OutboundConnection idleConnection, int status) {
+                duplicateResponse(worker, idleConnection, status);
             }
 
             @Override
-            public void disconnected(OutboundConnection l) {
-                idle.remove(target, l);
-                open.remove(l);
+            public void disconnected(OutboundConnection ended) {
+                idleConnections.remove(worker, ended);
+                openConnections.remove(ended);
                 connectionFreed();
             }
         });
-        idle.add(target, link);
+        idleConnections.add(worker, connection);
         connectionFreed();
-        trimIdle(target);
+        trimIdle(worker);
     }
 
-    /** Links that a busy worker needs all the time are not worth dialling anew for each job, so its share is kept to in need only. */
-    private void trimIdle(WorkerEndpoint target) {
-        int share = Math.max(MIN_IDLE_LIMIT, budget.maxIdleWorkerConnections() / workerCount.size());
-        if (target.idleConnections.size() > share && !budget.hasSpareDescriptors(open.size(), acceptedCount.getAsInt())) {
-            OutboundConnection oldest = target.idleConnections.peekLast();
-            idle.remove(target, oldest);
+    /** Keeps a worker's idle connections to its share, but only when descriptors are scarce: a busy worker would reconnect for each job. */
+    private void trimIdle(WorkerEndpoint worker) {
+        int share = Math.max(MIN_IDLE_LIMIT, budget.maxIdleWorkerConnections() / workers.size());
+        if (worker.idleConnections.size() > share && !budget.hasSpareDescriptors(openConnections.size(), acceptedCount.getAsInt())) {
+            OutboundConnection oldest = worker.idleConnections.peekLast();
+            idleConnections.remove(worker, oldest);
             closeGracefully(oldest);
         }
     }
 
     /**
-     * A worker answered a call twice, as an outlier does: its links rest after each job for a while. What the last call of
-     * this link was told by a 202 that may have been another's is in doubt, unless this answer is a 202 too.
+     * Handles a duplicate response from a faulty worker: for a while its connections always wait for the reuse delay after a job.
+     * A 202 that the last call on this connection received may have been another call's, so its acceptance is in doubt unless
+     * this response is a 202, too.
      */
-    public void duplicateResponse(WorkerEndpoint target, OutboundConnection link, int status) {
+    public void duplicateResponse(WorkerEndpoint worker, OutboundConnection connection, int status) {
         invariants.count("egress answer without a call");
-        target.expectDuplicateResponses(loop.nowUs() + DUPLICATE_RESPONSE_MEMORY_US);
-        OutboundConnection.AcceptanceListener last = link.acceptanceListener();
+        worker.expectDuplicateResponses(loop.nowUs() + DUPLICATE_RESPONSE_MEMORY_US);
+        OutboundConnection.AcceptanceListener last = connection.acceptanceListener();
         if (last != null && status != HttpStatus.ACCEPTED) {
             invariants.count("egress answers in doubt");
-            link.acceptanceListener(null);
+            connection.acceptanceListener(null);
             last.acceptanceInDoubt();
         }
     }
 
-    /** Takes a link back after an answer that could be a job's: it carries no other until a second one would have come. */
-    public void releaseWithReuseDelay(WorkerEndpoint target, OutboundConnection link, boolean keepAlive) {
+    /** Takes a connection back after a response that may be a job's; its reuse is delayed in case a duplicate response follows. */
+    public void releaseWithReuseDelay(WorkerEndpoint worker, OutboundConnection connection, boolean keepAlive) {
         long now = loop.nowUs();
-        link.reuseAfterUs = now + (target.sendsDuplicateResponses(now) ? DUPLICATE_RESPONSE_WINDOW_US : REUSE_DELAY_US);
-        link.duplicateResponseUntilUs = now + DUPLICATE_RESPONSE_WINDOW_US;
-        release(target, link, keepAlive);
+        connection.reuseAfterUs = now + (worker.sendsDuplicateResponses(now) ? DUPLICATE_RESPONSE_WINDOW_US : REUSE_DELAY_US);
+        connection.duplicateResponseUntilUs = now + DUPLICATE_RESPONSE_WINDOW_US;
+        release(worker, connection, keepAlive);
     }
 
-    /** An answer came that was none to the call. */
+    /** Counts a response that did not belong to the call. */
     public void countUnmatchedResponse() {
         invariants.count("egress answers of no call");
     }
 
-    /** Ends a link, or forgets one that is down. */
-    public void closeGracefully(OutboundConnection link) {
-        if (lingering < MAX_LINGERING) {
-            lingering++;
-            link.closeGracefully(() -> lingering--);
+    /** Closes a connection gracefully, or removes one that is already closed. */
+    public void closeGracefully(OutboundConnection connection) {
+        if (lingeringCount < MAX_LINGERING) {
+            lingeringCount++;
+            connection.closeGracefully(() -> lingeringCount--);
         } else {
-            link.close();
+            connection.close();
         }
-        open.remove(link);
+        openConnections.remove(connection);
         connectionFreed();
     }
 
-    /** Closes a link under its call, which is given up by that. */
-    public void abort(OutboundConnection link) {
-        link.close();
-        open.remove(link);
+    /** Closes a connection at once, which abandons its call. */
+    public void abort(OutboundConnection connection) {
+        connection.close();
+        openConnections.remove(connection);
         connectionFreed();
     }
 
     private void sweep() {
         long now = loop.nowUs();
-        for (WorkerEndpoint t : workerCount.values()) {
-            OutboundConnection oldest = t.idleConnections.peekLast();
+        for (WorkerEndpoint endpoint : workers.values()) {
+            OutboundConnection oldest = endpoint.idleConnections.peekLast();
             while (oldest != null && (now - oldest.idleSinceUs + SWEEP_INTERVAL_US >= idleTimeoutUs || !oldest.isIdle())) {
-                idle.remove(t, oldest);
+                idleConnections.remove(endpoint, oldest);
                 closeGracefully(oldest);
-                oldest = t.idleConnections.peekLast();
+                oldest = endpoint.idleConnections.peekLast();
             }
         }
         loop.schedule(SWEEP_INTERVAL_US, this::sweep);
     }
 
-    /** Targets in the list. */
+    /** Returns the number of listed workers. */
     public int workerCount() {
-        return workerCount.size();
+        return workers.size();
     }
 
-    /** Open links, dials included. */
+    /** Returns the number of open connections, including those being connected. */
     public int connectionCount() {
-        return open.size();
+        return openConnections.size();
     }
 }
--- a/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
+++ b/node/src/main/java/hookweir/net/worker/WorkerEndpoint.java
@@ -6,11 +6,11 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One worker as the list has it, and the idle links to it, newest first. Belongs to the loop. */
+/** A worker of the list and the idle connections to it, newest first. Used on the loop thread only. */
 public final class WorkerEndpoint {
-    /** Its id in the list, which its call-backs carry. */
+    /** The worker's id in the list, which its callbacks carry. */
     public final String name;
-    /** Its id for the module. */
+    /** The worker's numeric id in the scheduling module. */
     public final int id;
     final Deque<OutboundConnection> idleConnections = new ArrayDeque<>();
     private InetSocketAddress address;
@@ -23,27 +23,27 @@
         this.id = id;
     }
 
-    /** Where it listens. */
+    /** Returns the address at which the worker listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Where it listens, as a call's Host header has it. */
+    /** Returns the worker's address as the value of a Host header. */
     public String hostHeader() {
         return hostHeader;
     }
 
-    /** New work may go to it, as far as this scheduler was told. */
+    /** Returns whether the worker accepts new work, by the latest list update. */
     public boolean isReady() {
         return state == Contract.WorkerState.READY;
     }
 
-    /** It answered a call twice, so its links rest after each job until then. */
+    /** Makes this worker's connections always wait for the reuse delay after a job until this time, as it sent a duplicate response. */
     void expectDuplicateResponses(long untilUs) {
         duplicateResponsesUntilUs = untilUs;
     }
 
-    /** Its links always rest after a job. */
+    /** Returns whether the worker has recently sent a duplicate response. */
     boolean sendsDuplicateResponses(long nowUs) {
         return nowUs < duplicateResponsesUntilUs;
     }
--- a/node/src/test/java/hookweir/net/AutoWorker.java
+++ b/node/src/test/java/hookweir/net/AutoWorker.java
@@ -10,32 +10,32 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The worker of a {@link TestNode}, played by threads: takes every job, and ends it at once unless it is told not to. */
+/** A worker for a {@link TestNode}, run by threads: accepts every job, and completes it at once if so configured. */
 final class AutoWorker {
     final AtomicInteger jobs = new AtomicInteger();
     final AtomicInteger bodyBytes = new AtomicInteger();
-    /** Ids of the jobs in the order in which they came. */
+    /** Ids of the jobs in order of arrival. */
     final Queue<String> ids = new ConcurrentLinkedQueue<>();
     private final TestNode node;
     private final String name;
     private final boolean completesJobs;
 
-    AutoWorker(TestNode node, boolean ends) {
-        this(node, node.worker, "s-01", ends, Integer.MAX_VALUE);
+    AutoWorker(TestNode node, boolean completesJobs) {
+        this(node, node.worker, "s-01", completesJobs, Integer.MAX_VALUE);
     }
 
-    /** Behind that door, by that name; it holds so many connections and ends further ones unread. */
-    AutoWorker(TestNode node, ServerSocket door, String name, boolean ends, int mostConnections) {
+    /** A worker of this name at this listener; it serves at most {@code maxConnections} connections and closes further ones unread. */
+    AutoWorker(TestNode node, ServerSocket listener, String name, boolean completesJobs, int maxConnections) {
         this.node = node;
         this.name = name;
-        this.completesJobs = ends;
+        this.completesJobs = completesJobs;
         start(() -> {
             for (int held = 0; true; held++) {
-                Socket s = door.accept();
-                if (held < mostConnections) {
-                    start(() -> serve(s));
+                Socket socket = listener.accept();
+                if (held < maxConnections) {
+                    start(() -> serve(socket));
                 } else {
-                    s.close();
+                    socket.close();
                 }
             }
         });
@@ -45,36 +45,36 @@
         void run() throws IOException;
     }
 
-    /** A thread that ends with the sockets that it works on. */
+    /** Starts a thread that ends when its sockets are closed. */
     private static void start(Task task) {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
                 Thread.currentThread().interrupt(); // the test is over
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    private void serve(Socket s) throws IOException {
-        InputStream in = new BufferedInputStream(s.getInputStream());
+    private void serve(Socket socket) throws IOException {
+        InputStream in = new BufferedInputStream(socket.getInputStream());
         for (String head = head(in); head != null; head = head(in)) {
-            int at = head.indexOf("Content-Length: ");
-            int length = at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)));
+            int lengthAt = head.indexOf("Content-Length: ");
+            int length = lengthAt < 0 ? 0 : Integer.parseInt(head.substring(lengthAt + 16, head.indexOf('\r', lengthAt)));
             bodyBytes.addAndGet(in.readNBytes(length).length);
             if (head.startsWith("POST ")) {
-                int id = head.indexOf("Req-Id: ") + 8;
-                String job = head.substring(id, head.indexOf('\r', id));
+                int idAt = head.indexOf("Req-Id: ") + 8;
+                String job = head.substring(idAt, head.indexOf('\r', idAt));
                 ids.add(job);
                 jobs.incrementAndGet();
-                s.getOutputStream().write(TestNode.TAKEN.getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(TestNode.TAKEN.getBytes(StandardCharsets.US_ASCII));
                 if (completesJobs) {
                     node.tell(job, name, "done");
                 }
             } else {
-                s.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
         }
     }
@@ -82,11 +82,11 @@
     private static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            head.append((char) b);
+            head.append((char) next);
         }
         return head.toString();
     }
--- a/node/src/test/java/hookweir/net/CancelStagesTest.java
+++ b/node/src/test/java/hookweir/net/CancelStagesTest.java
@@ -11,73 +11,74 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A client that leaves, at each stage of its job: the attempt is given up as the protocol says (before the 202 by
- * DELETE or by closing the link, after it by DELETE), no answer is owed, and the scheduler goes on.
- * Queued in the module: PolicyRulesTest.nothingFollowsAClosedOrWithdrawnRequest. Timed out: FailuresTest.lateJobIsGivenUp.
+ * Guards against jobs that keep running after their client disconnected, at each stage of the job. The attempt must be
+ * cancelled as the protocol demands (before the 202 by DELETE or by closing the connection, after it by DELETE), and the
+ * scheduler must keep serving. Other tests cover requests queued in the scheduling module (PolicyRulesTest) and jobs that
+ * time out (FailuresTest.jobPastDeadlineIsAbandoned).
  */
 final class CancelStagesTest {
-    /** Being pushed: the worker has the job and has not said 202; the client leaves; DELETE or a closed link. */
-    /** A worker that stalls within a call gets no answer for it, as an answer would end its tries: it calls once more. */
+    /** A worker whose callback stalls gets no response, as a response would end its retries; it repeats the callback. */
     @Test
     void stalledCallbackIsRepeated() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect(); Socket call = n.connect()) {
+        try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect(); Socket callback = node.connect()) {
             say(client, job("c9"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
                 String whole = TestNode.post("/callback", "", "{\"id\":\"c9\",\"from\":\"s-01\",\"state\":\"done\",\"result\":\"r\"}");
-                say(call, whole.substring(0, whole.length() - 9));
-                assertEquals("", hear(call));
-                assertTrue(n.tell("c9", "s-01", "done").startsWith("HTTP/1.1 204"));
+                say(callback, whole.substring(0, whole.length() - 9));
+                assertEquals("", hear(callback));
+                assertTrue(node.tell("c9", "s-01", "done").startsWith("HTTP/1.1 204"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
 
+    /** The worker has received the job and not sent 202 when the client disconnects: it gets a DELETE, or its connection is closed. */
     @Test
     void jobBeingSentIsCancelled() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
-            Socket client = n.connect(); // closed by hand: its leaving is the test
+        try (TestNode node = new TestNode("read_like")) {
+            Socket client = node.connect(); // not in a try block, as the test closes it
             say(client, job("c2"));
-            try (Socket w = n.worker.accept()) {
-                assertTrue(hear(w).startsWith("POST /api"));
+            try (Socket worker = node.worker.accept()) {
+                assertTrue(hear(worker).startsWith("POST /api"));
                 client.close();
-                String next = readOrNullAtEnd(w);
-                assertTrue(next == null || next.startsWith("DELETE /jobs/c2 HTTP/1.1\r\n"), "after the client left: " + next);
+                String next = readOrNullAtEnd(worker);
+                assertTrue(next == null || next.startsWith("DELETE /jobs/c2 HTTP/1.1\r\n"), "after the client disconnected: " + next);
             }
-            assertStillServing(n);
+            assertStillServing(node);
         }
     }
 
-    /** Held: after the 202 the client leaves; the worker hears DELETE /jobs/ID, and a late done finds nobody. */
+    /** The client disconnects after the 202: the worker receives DELETE /jobs/ID, and a late callback is accepted and ignored. */
     @Test
     void acceptedJobIsCancelledByDelete() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
-            Socket client = n.connect(); // closed by hand: its leaving is the test
+        try (TestNode node = new TestNode("read_like")) {
+            Socket client = node.connect(); // not in a try block, as the test closes it
             say(client, job("c4"));
-            try (Socket w = n.worker.accept()) {
-                assertTrue(hear(w).startsWith("POST /api"));
-                say(w, TAKEN);
-                n.awaitCount("egress dials", 1);
+            try (Socket worker = node.worker.accept()) {
+                assertTrue(hear(worker).startsWith("POST /api"));
+                say(worker, TAKEN);
+                node.awaitCount("egress dials", 1);
                 client.close();
-                assertTrue(hear(w).startsWith("DELETE /jobs/c4 HTTP/1.1\r\n"));
-                assertTrue(n.tell("c4", "s-01", "done").startsWith("HTTP/1.1 2"), "a late done is taken and dropped");
+                assertTrue(hear(worker).startsWith("DELETE /jobs/c4 HTTP/1.1\r\n"));
+                assertTrue(node.tell("c4", "s-01", "done").startsWith("HTTP/1.1 2"), "a late callback is accepted and ignored");
             }
-            assertStillServing(n);
+            assertStillServing(node);
         }
     }
 
-    private static String readOrNullAtEnd(Socket w) throws java.io.IOException {
+    private static String readOrNullAtEnd(Socket worker) throws java.io.IOException {
         try {
-            String heard = hear(w);
-            return heard.isEmpty() ? null : heard; // the link was closed
+            String received = hear(worker);
+            return received.isEmpty() ? null : received; // empty: the connection was closed
         } catch (java.io.EOFException | java.net.SocketException e) {
             return null;
         }
     }
 
-    /** The scheduler goes on: it answers its health check, and the client got nothing after it left. */
-    private static void assertStillServing(TestNode n) throws Exception {
-        assertTrue(n.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "it stopped serving");
+    /** Checks that the scheduler still answers its health check. */
+    private static void assertStillServing(TestNode node) throws Exception {
+        assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "it stopped serving");
     }
 }
--- a/node/src/test/java/hookweir/net/ClosingTest.java
+++ b/node/src/test/java/hookweir/net/ClosingTest.java
@@ -15,197 +15,197 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Bytes that come in the very moment in which the scheduler ends a connection. Where it closes over them, the system resets
- * the connection, and what was written before goes with it: {@link #assertCleanEnd} fails on a reset.
+ * Guards against responses lost to a TCP reset. If the scheduler closes a connection while unread bytes have arrived on it, the
+ * system resets the connection and drops what was written before; {@link #assertCleanEnd} fails on a reset.
  */
 @Timeout(30)
 final class ClosingTest {
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
-    /** The client's end of a connection that was ended in order, with nothing more on it. */
+    /** Checks that the connection ended without a reset and without further bytes. */
     private static void assertCleanEnd(Socket client) throws IOException {
-        assertEquals(-1, client.getInputStream().read(), "an end, no reset and no byte more");
+        assertEquals(-1, client.getInputStream().read(), "a clean end, no reset and no further byte");
     }
 
-    private static Socket idleConnection(TestNode n) throws IOException {
-        Socket client = n.connect();
+    private static Socket idleConnection(TestNode node) throws IOException {
+        Socket client = node.connect();
         say(client, HEALTHZ);
         assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-        n.ask(HEALTHZ); // by now the loop knows that the first answer is written
+        node.ask(HEALTHZ); // by now the loop has seen that the first response was written
         return client;
     }
 
-    /** It lies unread on a resting connection as SIGTERM comes: it was there before, so it is read and answered. */
+    /** A request that arrived unread on an idle connection before SIGTERM is read and answered. */
     @Test
     void requestReceivedBeforeSigtermIsAnswered() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = idleConnection(n)) {
-            CountDownLatch gate = n.deaf();
+        try (TestNode node = new TestNode("read_like"); Socket client = idleConnection(node)) {
+            CountDownLatch gate = node.deaf();
             say(client, HEALTHZ);
-            n.node.drain();
+            node.node.drain();
             gate.countDown();
             assertTrue(hear(client).startsWith("HTTP/1.1 503"));
             assertCleanEnd(client);
         }
     }
 
-    /** What comes on a connection after its output was shut finds its end; nothing of it is sent on. */
+    /** Requests that arrive after the connection's output was shut down are not forwarded, and the client sees a clean end. */
     @Test
     void requestAfterShutdownIsNotForwarded() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = idleConnection(n); Socket holds = n.connect()) {
-            say(holds, job("s0"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                n.node.drain();
+        try (TestNode node = new TestNode("read_like"); Socket client = idleConnection(node); Socket pendingClient = node.connect()) {
+            say(pendingClient, job("s0"));
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                node.node.drain();
                 assertCleanEnd(client);
                 say(client, job("s1"));
                 say(client, job("s2"));
-                n.awaitCount("ingress bytes after the end", 1);
-                n.tell("s0", "s-01", "done");
-                assertTrue(hear(holds).startsWith("HTTP/1.1 200"));
-                n.loop.join(20_000);
-                assertFalse(n.loop.isAlive());
-                assertEquals(1, n.node.invariants().counted("requests"));
+                node.awaitCount("ingress bytes after the end", 1);
+                node.tell("s0", "s-01", "done");
+                assertTrue(hear(pendingClient).startsWith("HTTP/1.1 200"));
+                node.loop.join(20_000);
+                assertFalse(node.loop.isAlive());
+                assertEquals(1, node.node.invariants().counted("requests"));
             }
         }
     }
 
-    /** What a client sends behind its last request is read and dropped, so that no reset overtakes the answer. */
+    /** Bytes after the last request are read and discarded, so that no reset overtakes the response. */
     @Test
     void bytesAfterLastRequestAreDiscarded() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, HEALTHZ.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
             assertTrue(hear(client).startsWith("HTTP/1.1 200"));
             assertCleanEnd(client);
             say(client, HEALTHZ);
-            n.awaitCount("ingress bytes after the end", 1);
+            node.awaitCount("ingress bytes after the end", 1);
         }
     }
 
-    /** Clients that connected and rest, with nothing sent yet, are ended after SIGTERM too, and the process goes. */
+    /** Connections on which no request has arrived yet are closed on SIGTERM, too, and the process exits. */
     @Test
     void connectionWithoutRequestIsClosedOnSigterm() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket silent = n.connect()) {
-            assertTrue(n.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
-            n.node.drain();
+        try (TestNode node = new TestNode("read_like"); Socket silent = node.connect()) {
+            assertTrue(node.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
+            node.node.drain();
             assertCleanEnd(silent);
-            assertEquals(0, n.node.invariants().counted("ingress silent"), "by the drain, not by its silence");
-            n.loop.join(20_000);
-            assertFalse(n.loop.isAlive());
+            assertEquals(0, node.node.invariants().counted("ingress silent"), "closed by the drain, not by the idle timeout");
+            node.loop.join(20_000);
+            assertFalse(node.loop.isAlive());
         }
     }
 
-    /** What operators send behind their call is read and dropped, too. */
+    /** Bytes after an admin request are read and discarded, too. */
     @Test
     void bytesAfterAdminRequestAreDiscarded() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket operator = n.admin()) {
+        try (TestNode node = new TestNode("read_like"); Socket operator = node.admin()) {
             say(operator, "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(hear(operator).startsWith("HTTP/1.1 200"));
             assertCleanEnd(operator);
             say(operator, HEALTHZ);
-            n.awaitCount("admin bytes after the end", 1);
+            node.awaitCount("admin bytes after the end", 1);
         }
     }
 
-    /** A flood of jobs on one connection, whose sender goes: none but the one at the worker is sent on. */
+    /** A client pipelines many jobs and disconnects: only the job already at the worker is forwarded. */
     @Test
     void pipelinedJobsOfDisconnectedClientAreNotForwarded() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
-            Socket flood = n.connect(); // closed by hand: its leaving is the test
-            StringBuilder all = new StringBuilder();
+        try (TestNode node = new TestNode("read_like")) {
+            Socket client = node.connect(); // not in a try block, as the test closes it
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 40; i++) {
-                all.append(job("f" + i));
+                requests.append(job("f" + i));
             }
-            say(flood, all.toString());
-            try (Socket w = n.worker.accept()) {
-                assertTrue(hear(w).contains("Req-Id: f0\r\n"));
-                say(w, TAKEN);
-                flood.close();
-                assertTrue(hear(w).startsWith("DELETE /jobs/f0 HTTP/1.1\r\n"));
-                n.awaitCount("clients gone", 1);
-                assertEquals(1, n.node.invariants().counted("requests"));
+            say(client, requests.toString());
+            try (Socket worker = node.worker.accept()) {
+                assertTrue(hear(worker).contains("Req-Id: f0\r\n"));
+                say(worker, TAKEN);
+                client.close();
+                assertTrue(hear(worker).startsWith("DELETE /jobs/f0 HTTP/1.1\r\n"));
+                node.awaitCount("clients gone", 1);
+                assertEquals(1, node.node.invariants().counted("requests"));
             }
         }
     }
 
-    /** More than may wait on one connection is not read; what was taken is answered, then an error ends it. */
+    /** More requests than may wait on one connection are not read; the accepted ones are answered, then an error ends the connection. */
     @Test
     void pipelinedRequestsOverTheLimitAreRejected() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket flood = n.connect()) {
-            StringBuilder all = new StringBuilder();
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 400; i++) {
-                all.append(job("g" + i));
+                requests.append(job("g" + i));
             }
-            new AutoWorker(n, true).jobs.get();
-            CountDownLatch gate = n.deaf();
-            say(flood, all.toString());
+            new AutoWorker(node, true).jobs.get();
+            CountDownLatch gate = node.deaf();
+            say(client, requests.toString());
             gate.countDown();
             int served = 0;
-            String answer = hear(flood);
-            for (; answer.startsWith("HTTP/1.1 200"); answer = hear(flood)) {
+            String response = hear(client);
+            for (; response.startsWith("HTTP/1.1 200"); response = hear(client)) {
                 served++;
             }
-            assertTrue(answer.startsWith("HTTP/1.1 429"), answer);
-            assertCleanEnd(flood);
-            assertEquals(served, n.node.invariants().counted("requests"), "each that was taken was answered");
+            assertTrue(response.startsWith("HTTP/1.1 429"), response);
+            assertCleanEnd(client);
+            assertEquals(served, node.node.invariants().counted("requests"), "each accepted request was answered");
         }
     }
 
-    /** A request that a client sent ahead was taken, and is answered before its client is sent away. */
+    /** A pipelined request counts as accepted, and is answered before the drain closes its connection. */
     @Test
     void pipelinedRequestIsAnsweredBeforeDrainClosesConnection() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, job("h1") + job("h2"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                n.node.drain();
-                n.ask(HEALTHZ);
-                n.tell("h1", "s-01", "done");
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                node.node.drain();
+                node.ask(HEALTHZ);
+                node.tell("h1", "s-01", "done");
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 "), "an answer to what was taken");
+                assertTrue(hear(client).startsWith("HTTP/1.1 "), "a response to the accepted request");
                 assertCleanEnd(client);
             }
         }
     }
 
-    /** Its client sent much behind a job and left: that is seen, though little of it was read. */
+    /** A client sends many bytes after a job and disconnects: that is noticed although few of them were read. */
     @Test
     void disconnectOfClientThatSentTooMuchIsNoticed() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
-            Socket client = n.connect(); // closed by hand: its leaving is the test
+        try (TestNode node = new TestNode("read_like")) {
+            Socket client = node.connect(); // not in a try block, as the test closes it
             say(client, job("i1"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
                 say(client, "\0".repeat(600_000));
-                n.awaitCount("ingress unreadable 400", 1);
+                node.awaitCount("ingress unreadable 400", 1);
                 client.close();
-                n.awaitCount("clients gone", 1);
+                node.awaitCount("clients gone", 1);
             }
         }
     }
 
-    /** As the process leaves, a client's connection on which nothing came yet is ended like any other, not closed under its request. */
+    /** At exit a client's connection without a request so far is closed cleanly, not reset under its first request. */
     @Test
     void newConnectionIsClosedCleanlyAtExit() throws Exception {
-        try (TestNode n = TestNode.frozen("read_like")) {
-            n.step(650_000);
-            n.node.drain();
-            n.rounds();
-            n.step(470_000);
-            n.rounds();
-            try (Socket client = n.connect()) {
-                n.rounds();
-                n.step(280_000); // a sweep finds it young
-                n.rounds();
-                n.step(170_000); // its first request is overdue, and the process would leave, before the next
-                n.rounds();
+        try (TestNode node = TestNode.frozen("read_like")) {
+            node.step(650_000);
+            node.node.drain();
+            node.rounds();
+            node.step(470_000);
+            node.rounds();
+            try (Socket client = node.connect()) {
+                node.rounds();
+                node.step(280_000); // a sweep finds the connection recent
+                node.rounds();
+                node.step(170_000); // before the next sweep the first request is overdue and the process could exit
+                node.rounds();
                 say(client, HEALTHZ);
                 assertTrue(hear(client).startsWith("HTTP/1.1 503"));
                 assertCleanEnd(client);
-                n.goOn(0);
+                node.goOn(0);
             }
-            n.loop.join();
+            node.loop.join();
         }
     }
 }
--- a/node/src/test/java/hookweir/net/ConnectCountTest.java
+++ b/node/src/test/java/hookweir/net/ConnectCountTest.java
@@ -14,31 +14,34 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How many dials jobs cost under load: a count that does not depend on the machine. */
+/**
+ * Guards against a new connection per job under load: the pool must reuse connections to busy workers. Counts connects, which
+ * does not depend on the machine's speed.
+ */
 @Timeout(60)
 final class ConnectCountTest {
-    private static final int MOST_WAITING = 1024;
+    private static final int MAX_WAITING = 1024;
 
-    /** A worker under load is not dialled for each job: so many jobs under way, each ended in an order that a seed forces. */
+    /** Runs many concurrent jobs, completed in a seeded random order: few of them may need a new connection. */
     @ParameterizedTest
     @CsvSource({"1,4", "1,256", "10,64", "100,256"})
-    void busyWorkerReusesConnections(int workers, int underWay) throws Exception {
+    void busyWorkerReusesConnections(int workers, int concurrentJobs) throws Exception {
         try (LinkPool pool = new LinkPool(8192)) {
-            for (int w = 2; w <= workers; w++) {
-                int id = w;
+            for (int worker = 2; worker <= workers; worker++) {
+                int id = worker;
                 pool.bare.loop.post(() -> pool.egress.applyUpdate(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
                     pool.door.getLocalPort()), Contract.WorkerState.READY));
             }
             Thread acceptor = new Thread(pool::acceptAll);
             acceptor.setDaemon(true);
             acceptor.start();
-            long jobs = pool.play(workers, underWay, new Random(7));
-            long dials = pool.invariants.counted("egress dials");
-            assertTrue(dials < 0.05 * jobs, dials + " dials for " + jobs + " jobs");
+            long jobs = pool.play(workers, concurrentJobs, new Random(7));
+            long connects = pool.invariants.counted("egress dials");
+            assertTrue(connects < 0.05 * jobs, connects + " connects for " + jobs + " jobs");
         }
     }
 
-    /** Two links are all that the descriptors allow: jobs share them, and neither is ended for the sake of the next job. */
+    /** The descriptor limit allows two connections: jobs share them, and neither is closed to make way for the next job. */
     @Test
     void connectionsAreSharedAtTheDescriptorLimit() throws Exception {
         try (LinkPool pool = new LinkPool(4)) {
@@ -50,7 +53,7 @@
         }
     }
 
-    /** No more than so many calls wait for a link: the next gets none at once. */
+    /** At the maximum number of waiting calls, the next call fails at once. */
     @Test
     void numberOfWaitingCallsIsBounded() throws Exception {
         try (LinkPool pool = new LinkPool(4)) {
@@ -58,19 +61,19 @@
             pool.link();
             pool.up.take();
             pool.up.take();
-            CountDownLatch refused = new CountDownLatch(1);
+            CountDownLatch rejected = new CountDownLatch(1);
             pool.bare.loop.post(() -> {
-                for (int i = 0; i <= MOST_WAITING; i++) {
+                for (int i = 0; i <= MAX_WAITING; i++) {
                     pool.egress.acquire(pool.egress.worker(1), new LinkPool.Silent() {
                         @Override
                         public void connectionUnavailable() {
-                            refused.countDown();
+                            rejected.countDown();
                         }
                     }, WorkerConnectionPool.REUSE_SETTLED);
                 }
             });
-            refused.await();
-            assertEquals(MOST_WAITING, pool.invariants.counted("egress waits for a link"));
+            rejected.await();
+            assertEquals(MAX_WAITING, pool.invariants.counted("egress waits for a link"));
             assertEquals(1, pool.invariants.counted("egress out of links"));
         }
     }
--- a/node/src/test/java/hookweir/net/CrowdedConnections.java
+++ b/node/src/test/java/hookweir/net/CrowdedConnections.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A scheduler with nine workers behind one door and nine jobs, some of which wait for a connection, as all that there may be are
- * dialled; its loop is held until the gate is counted down.
+ * A scheduler with nine workers behind one listener and nine jobs. Some of the jobs wait for a connection, as the descriptor limit
+ * is reached; the scheduler's loop is blocked until the gate is counted down.
  */
 final class CrowdedConnections implements AutoCloseable {
     static final int WORKERS = 9;
@@ -27,7 +27,7 @@
     final TestNode node = new TestNode("read_like", 20_000_000, "'sockets':64");
     final List<Socket> clients = new ArrayList<>();
     final CountDownLatch gate;
-    /** Dials so far. */
+    /** Connection attempts made before the loop was blocked. */
     final long connectCount;
 
     CrowdedConnections() throws Exception {
@@ -44,15 +44,15 @@
         });
         connectCount = connectCount();
         assertEquals(WORKERS, connectCount + node.node.invariants().counted("egress waits for a link"));
-        assertTrue(connectCount < WORKERS, "all found a descriptor");
+        assertTrue(connectCount < WORKERS, "every job got a descriptor");
     }
 
-    /** Dials by now. */
+    /** Returns the connection attempts made so far. */
     long connectCount() {
         return node.node.invariants().counted("egress dials");
     }
 
-    /** All clients close their connections. */
+    /** Closes the connections of all clients. */
     void closeClients() throws IOException {
         for (Socket client : clients) {
             client.close();
--- a/node/src/test/java/hookweir/net/DescriptorShareTest.java
+++ b/node/src/test/java/hookweir/net/DescriptorShareTest.java
@@ -25,38 +25,39 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A process that may hold few descriptors, by the system's own limit. Idle clients and operators take all that they can get
- * while discovery is down: at its return the watch, a link to a worker and its call-back find theirs.
+ * Guards against idle clients that use up all descriptors of a process. Its descriptor limit is low, and idle client and admin
+ * connections take all they can get while the list service is down; when that returns, the watch, the connection to a worker and
+ * its callback must still get a descriptor.
  */
 @Timeout(60)
 final class DescriptorShareTest {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final int DESCRIPTORS = 160;
-    private static final int CROWD = 300;
-    private static final int OPERATORS = 20;
+    private static final int IDLE_CLIENTS = 300;
+    private static final int ADMIN_CONNECTIONS = 20;
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleConnections = new ArrayList<>();
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, HERE)) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, HERE)) {
+            return socket.getLocalPort();
         }
     }
 
     private static Socket connect(int port) throws IOException {
-        Socket s = new Socket(HERE, port);
-        s.setSoTimeout(20_000);
-        return s;
+        Socket socket = new Socket(HERE, port);
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
-    /** A third of them rest after a request, a third have begun one, and the others say nothing. */
+    /** A third of the connections are idle after a request, a third have sent half of one, and the others have sent nothing. */
     private void fill(int port, int clients) throws IOException {
         for (int i = 0; i < clients; i++) {
-            Socket s = connect(port);
-            crowd.add(s);
+            Socket socket = connect(port);
+            idleConnections.add(socket);
             if (i % 3 != 0) {
-                say(s, HEALTHZ.substring(0, i % 3 == 1 ? HEALTHZ.length() : 20));
+                say(socket, HEALTHZ.substring(0, i % 3 == 1 ? HEALTHZ.length() : 20));
             }
         }
     }
@@ -66,7 +67,7 @@
             + "','weight':1.0,'started_ms':0}";
     }
 
-    /** Answers discovery's calls with this list until a watch stands. */
+    /** Answers calls to the list service with this list until one of them is a watch. */
     private static Socket acceptWatch(ServerSocket list, String servers) throws IOException {
         String whole = "{'version':9,'full':true,'servers':[" + servers + "]}";
         while (true) {
@@ -80,32 +81,32 @@
         }
     }
 
-    /** A client that finds its connection shut unread comes again. */
+    /** Sends a request, again on a new connection whenever the server closes the connection without a response. */
     private static String ask(int port, String message) throws IOException {
-        String answer = "";
-        while (answer.isEmpty()) {
-            try (Socket s = connect(port)) {
-                say(s, message);
-                answer = hear(s);
+        String response = "";
+        while (response.isEmpty()) {
+            try (Socket socket = connect(port)) {
+                say(socket, message);
+                response = hear(socket);
             } catch (java.net.SocketException shut) {
-                answer = "";
+                response = "";
             }
         }
-        return answer;
+        return response;
     }
 
-    private static long openDescriptors(Process p) throws IOException {
-        try (var all = Files.list(Path.of("/proc", Long.toString(p.pid()), "fd"))) {
+    private static long openDescriptors(Process process) throws IOException {
+        try (var all = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             return all.count();
         }
     }
 
     private static Process start(Path config) throws IOException {
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$@\"", "sh",
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$@\"", "sh",
             Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-Xmx64m",
             "-cp", System.getProperty("java.class.path"), "hookweir.Main", "serve");
-        b.environment().put("RELAY_CONFIG", config.toString());
-        return b.redirectErrorStream(true).start();
+        builder.environment().put("RELAY_CONFIG", config.toString());
+        return builder.redirectErrorStream(true).start();
     }
 
     private static int port(BufferedReader log) throws IOException {
@@ -118,65 +119,65 @@
 
     @Test
     void listAndWorkerConnectionsKeepDescriptorsUnderManyClients() throws Exception {
-        int discovery = freePort(); // nobody listens there yet: discovery is down
+        int discovery = freePort(); // nobody listens there yet: the list service is down
         int admin = freePort();
         Path config = Files.createTempFile("hookweir", ".json");
-        try (ServerSocket leaves = new ServerSocket(0, 50, HERE); ServerSocket worker = new ServerSocket(0, 50, HERE)) {
+        try (ServerSocket drainingWorker = new ServerSocket(0, 50, HERE); ServerSocket worker = new ServerSocket(0, 50, HERE)) {
             worker.setSoTimeout(20_000);
             Files.writeString(config, ("{'listen':'127.0.0.1:0','admin_addr':'127.0.0.1:" + admin + "','discovery':'127.0.0.1:" + discovery
-                + "','seed':'1','known':{'version':7,'full':true,'servers':[" + entry("s-01", leaves.getLocalPort(), "SERVING") + "]},"
+                + "','seed':'1','known':{'version':7,'full':true,'servers':[" + entry("s-01", drainingWorker.getLocalPort(), "SERVING") + "]},"
                 + "'settings':{'classes':[{'name':'render','aim_us':10000000,'deadline_us':20000000,'semantics':'read_like'}],"
                 + "'zones':['a'],'kinds':['m'],'discovery':'ask','rules':{'ask_within_us':1000000},"
                 + "'limits':{'max_attempts':3,'dial_timeout_us':1000000}}}").replace('\'', '"'));
-            Process p = start(config);
-            try (BufferedReader log = p.inputReader()) {
+            Process process = start(config);
+            try (BufferedReader log = process.inputReader()) {
                 int port = port(log);
                 ask(port, HEALTHZ);
-                fill(port, CROWD);
-                fill(admin, OPERATORS);
-                ask(port, HEALTHZ); // by now all of the crowd that came before was let in, or made way
-                long full = openDescriptors(p);
+                fill(port, IDLE_CLIENTS);
+                fill(admin, ADMIN_CONNECTIONS);
+                ask(port, HEALTHZ); // by now all earlier connections have been accepted, or closed to make way
+                long full = openDescriptors(process);
                 assertTrue(full > DESCRIPTORS / 2 && full < DESCRIPTORS, "open descriptors: " + full);
                 try (ServerSocket list = new ServerSocket()) {
                     list.setReuseAddress(true);
                     list.bind(new InetSocketAddress(HERE, discovery), 50);
                     list.setSoTimeout(20_000);
-                    String news = entry("s-01", leaves.getLocalPort(), "DRAINING") + "," + entry("s-02", worker.getLocalPort(), "SERVING");
-                    try (Socket watch = acceptWatch(list, news); Socket client = connect(port)) {
-                        fill(port, CROWD / 3);
+                    String changes = entry("s-01", drainingWorker.getLocalPort(), "DRAINING") + "," + entry("s-02", worker.getLocalPort(), "SERVING");
+                    try (Socket watch = acceptWatch(list, changes); Socket client = connect(port)) {
+                        fill(port, IDLE_CLIENTS / 3);
                         say(client, job("a1"));
-                        try (Socket link = worker.accept()) {
-                            assertTrue(hear(link).contains("Req-Id: a1\r\n"));
-                            say(link, TAKEN);
-                            fill(port, CROWD / 3);
+                        try (Socket connection = worker.accept()) {
+                            assertTrue(hear(connection).contains("Req-Id: a1\r\n"));
+                            say(connection, TAKEN);
+                            fill(port, IDLE_CLIENTS / 3);
                             String done = "{'id':'a1','from':'s-02','state':'done','result':'r'}".replace('\'', '"');
                             assertTrue(ask(port, post("/callback", "", done)).startsWith("HTTP/1.1 204"));
                             assertTrue(hear(client).startsWith("HTTP/1.1 200"));
                         }
-                        assertTrue(openDescriptors(p) < DESCRIPTORS);
+                        assertTrue(openDescriptors(process) < DESCRIPTORS);
                         assertFalse(watch.isClosed());
                     }
                 }
-                for (Socket s : crowd) {
-                    s.close();
+                for (Socket socket : idleConnections) {
+                    socket.close();
                 }
-                p.toHandle().destroy(); // the process's own would end its log here
+                process.toHandle().destroy(); // Process.destroy would close its output here
                 String end = String.join("\n", log.lines().toList());
                 assertTrue(end.contains("leaving; "), end);
                 assertFalse(end.contains("accept failed"), end);
             } finally {
-                p.destroyForcibly();
+                process.destroyForcibly();
             }
-            leaves.setSoTimeout(1);
-            assertEquals("nobody", readFromNextConnection(leaves));
+            drainingWorker.setSoTimeout(1);
+            assertEquals("nobody", readFromNextConnection(drainingWorker));
         } finally {
             Files.delete(config);
         }
     }
 
-    private static String readFromNextConnection(ServerSocket door) throws IOException {
-        try (Socket s = door.accept()) {
-            return hear(s);
+    private static String readFromNextConnection(ServerSocket listener) throws IOException {
+        try (Socket socket = listener.accept()) {
+            return hear(socket);
         } catch (java.net.SocketTimeoutException none) {
             return "nobody";
         }
--- a/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
+++ b/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
@@ -23,13 +23,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt begins for a client that closed its connection, whatever the attempt waits for then. Clients are closed by hand. */
+/**
+ * Guards against jobs sent to workers for clients that have already disconnected: no attempt may start once the client has closed
+ * its connection, whatever the attempt was waiting for. Clients are closed by the tests, not by try blocks.
+ */
 @Timeout(60)
 final class DisconnectedClientsTest {
     private static final String DECLINED = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     private static final int CLIENTS = 8;
 
-    /** Its client closes the connection. */
+    /** Closes the connection of a client. */
     private static void disconnect(Socket client) throws Exception {
         client.close();
     }
@@ -41,149 +44,149 @@
     }
 
     /**
-     * Each connection is up before its client leaves, and both are seen in one round of I/O, in whatever order: of so many
-     * some would be sent.
+     * Each worker connection opens before its client disconnects, and the scheduler sees both in one I/O round, in any order. Without
+     * the check some of this many jobs would be sent.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void jobIsNotSentWhenItsConnectionOpens(boolean cancels) throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                TestNode n = cancels ? TestNode.pushed() : TestNode.withoutCancels();
-                Socket watch = cancels ? n.watched() : n.watch) {
-            long updates = n.node.invariants().counted("list updates");
-            line(watch, "{'version':8,'full':true,'servers':[" + many(n, door, "SERVING", 9) + "]}");
-            n.awaitCount("list updates", updates + 1);
+        try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                TestNode node = cancels ? TestNode.pushed() : TestNode.withoutCancels();
+                Socket watch = cancels ? node.watched() : node.watch) {
+            long updates = node.node.invariants().counted("list updates");
+            line(watch, "{'version':8,'full':true,'servers':[" + many(node, listener, "SERVING", 9) + "]}");
+            node.awaitCount("list updates", updates + 1);
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(n.connect());
+                clients.add(node.connect());
             }
-            n.settle();
-            CountDownLatch gate = afterReading(n, () -> {
+            node.settle();
+            CountDownLatch gate = afterReading(node, () -> {
                 for (Socket client : clients) {
                     say(client, job("u" + clients.indexOf(client)));
                 }
             });
-            assertEquals(CLIENTS, n.node.invariants().counted("egress dials"));
+            assertEquals(CLIENTS, node.node.invariants().counted("egress dials"));
             close(clients);
             gate.countDown();
-            n.awaitCount("clients gone", CLIENTS);
-            n.rounds();
-            assertEquals("", sentTo(door, n));
+            node.awaitCount("clients gone", CLIENTS);
+            node.rounds();
+            assertEquals("", sentTo(listener, node));
         }
     }
 
-    /** It leaves while its job waits for a link that settles; in the second case that lies unread as the link has settled. */
+    /** The client disconnects while its job waits for a reuse delay; in the second case this is still unread when the delay ends. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void jobWaitingForReuseDelayIsNotSent(boolean seen) throws Exception {
-        try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
-            n.freeze();
+    void jobWaitingForReuseDelayIsNotSent(boolean disconnectRead) throws Exception {
+        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
+            node.freeze();
             say(client, job("s1"));
-            try (Socket kept = n.worker.accept()) {
-                hear(kept);
-                say(kept, TAKEN);
-                n.tell("s1", "s-01", "done");
+            try (Socket idleConnection = node.worker.accept()) {
+                hear(idleConnection);
+                say(idleConnection, TAKEN);
+                node.tell("s1", "s-01", "done");
                 hear(client);
-                say(leaves, job("s2"));
-                n.awaitCount("requests", 2);
-                n.rounds();
-                CountDownLatch gate = seen ? new CountDownLatch(1) : n.deaf();
-                disconnect(leaves);
-                if (seen) {
-                    n.awaitCount("clients gone", 1);
+                say(leaving, job("s2"));
+                node.awaitCount("requests", 2);
+                node.rounds();
+                CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.deaf();
+                disconnect(leaving);
+                if (disconnectRead) {
+                    node.awaitCount("clients gone", 1);
                 }
-                n.goOn(200_000);
+                node.goOn(200_000);
                 gate.countDown();
-                n.awaitCount("clients gone", 1);
-                n.rounds();
-                assertEquals(1, n.node.invariants().counted("egress dials"));
-                assertEquals("", HeldLoop.sentOn(kept, n));
+                node.awaitCount("clients gone", 1);
+                node.rounds();
+                assertEquals(1, node.node.invariants().counted("egress dials"));
+                assertEquals("", HeldLoop.sentOn(idleConnection, node));
             }
             assertFalse(watch.isClosed());
         }
     }
 
-    /** Its job was declined and is held for a repeat; in the second case its end lies unread as the repeat is due. */
+    /** The client's job was declined and waits for a retry; in the second case its disconnect is still unread when the retry is due. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void declinedJobIsNotRetried(boolean seen) throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode n = TestNode.pushed();
-                Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
-            line(watch, "{'version':8,'full':true,'servers':[" + second(n, door, "SERVING") + "]}");
-            n.awaitCount("list updates", 2);
+    void declinedJobIsNotRetried(boolean disconnectRead) throws Exception {
+        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode node = TestNode.pushed();
+                Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
+            line(watch, "{'version':8,'full':true,'servers':[" + second(node, listener, "SERVING") + "]}");
+            node.awaitCount("list updates", 2);
             say(client, job("r1"));
-            try (Socket kept = door.accept()) {
-                hear(kept);
-                say(kept, TAKEN);
-                n.tell("r1", "s-02", "done");
+            try (Socket idleConnection = listener.accept()) {
+                hear(idleConnection);
+                say(idleConnection, TAKEN);
+                node.tell("r1", "s-02", "done");
                 hear(client);
-                n.goOn(100_000); // a kept link that has settled: a job could be sent at once
-                line(watch, "{'version':9,'full':false,'servers':[" + second(n, door, "DRAINING") + "," + n.entry("SERVING") + "]}");
-                n.awaitCount("list updates", 3);
-                say(leaves, job("r2"));
-                try (Socket first = n.worker.accept()) {
+                node.goOn(100_000); // past the reuse delay of the idle connection: a job could be sent at once
+                line(watch, "{'version':9,'full':false,'servers':[" + second(node, listener, "DRAINING") + "," + node.entry("SERVING") + "]}");
+                node.awaitCount("list updates", 3);
+                say(leaving, job("r2"));
+                try (Socket first = node.worker.accept()) {
                     hear(first);
-                    n.freeze();
+                    node.freeze();
                     say(first, DECLINED);
-                    n.awaitCount("attempts FULL", 1);
-                    n.rounds();
-                    line(watch, "{'version':10,'full':false,'servers':[" + second(n, door, "SERVING") + "]}");
-                    n.awaitCount("list updates", 4);
-                    n.rounds();
-                    CountDownLatch gate = seen ? new CountDownLatch(1) : n.deaf();
-                    disconnect(leaves);
-                    if (seen) {
-                        n.awaitCount("clients gone", 1);
+                    node.awaitCount("attempts FULL", 1);
+                    node.rounds();
+                    line(watch, "{'version':10,'full':false,'servers':[" + second(node, listener, "SERVING") + "]}");
+                    node.awaitCount("list updates", 4);
+                    node.rounds();
+                    CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.deaf();
+                    disconnect(leaving);
+                    if (disconnectRead) {
+                        node.awaitCount("clients gone", 1);
                     }
-                    n.goOn(400_000);
+                    node.goOn(400_000);
                     gate.countDown();
-                    n.awaitCount("clients gone", 1);
-                    n.rounds();
-                    assertEquals("", HeldLoop.sentOn(kept, n));
+                    node.awaitCount("clients gone", 1);
+                    node.rounds();
+                    assertEquals("", HeldLoop.sentOn(idleConnection, node));
                 }
             }
         }
     }
 
-    /** Its job waits for a connection, as all that there may be are dialled: none is sent for it, and none dialled. */
+    /** The client's job waits for a connection at the connection limit: it is not sent, and no connection is opened for it. */
     @Test
     void jobWaitingForFreeConnectionIsNotSent() throws Exception {
-        try (CrowdedConnections crowd = new CrowdedConnections()) {
-            crowd.closeClients();
-            crowd.gate.countDown();
-            crowd.node.awaitCount("clients gone", CrowdedConnections.WORKERS);
-            crowd.node.rounds();
-            assertEquals(crowd.connectCount, crowd.connectCount());
-            assertEquals("", sentTo(crowd.workerListener, crowd.node));
+        try (CrowdedConnections connections = new CrowdedConnections()) {
+            connections.closeClients();
+            connections.gate.countDown();
+            connections.node.awaitCount("clients gone", CrowdedConnections.WORKERS);
+            connections.node.rounds();
+            assertEquals(connections.connectCount, connections.connectCount());
+            assertEquals("", sentTo(connections.workerListener, connections.node));
         }
     }
 
-    /** Its job is held as no worker serves; its end lies unread as the module's next try is due, and a kept link rests. */
+    /** The client's job waits as no worker serves; its disconnect is still unread when the next try is due and an idle connection is free. */
     @Test
     void jobWaitingForAWorkerIsNotSent() throws Exception {
-        try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect(); Socket leaves = n.connect()) {
+        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
             say(client, job("h1"));
-            try (Socket kept = n.worker.accept()) {
-                hear(kept);
-                say(kept, TAKEN);
-                n.tell("h1", "s-01", "done");
+            try (Socket idleConnection = node.worker.accept()) {
+                hear(idleConnection);
+                say(idleConnection, TAKEN);
+                node.tell("h1", "s-01", "done");
                 hear(client);
-                n.goOn(100_000); // a kept link that has settled: a job could be sent at once
-                line(watch, "{'version':8,'full':false,'servers':[" + n.entry("DRAINING") + "]}");
-                n.awaitCount("list updates", 2);
-                n.freeze();
-                say(leaves, job("h2"));
-                n.awaitCount("requests", 2);
-                line(watch, "{'version':9,'full':false,'servers':[" + n.entry("SERVING") + "]}");
-                n.awaitCount("list updates", 3);
-                n.rounds();
-                CountDownLatch gate = n.deaf();
-                disconnect(leaves);
-                n.goOn(400_000);
+                node.goOn(100_000); // past the reuse delay of the idle connection: a job could be sent at once
+                line(watch, "{'version':8,'full':false,'servers':[" + node.entry("DRAINING") + "]}");
+                node.awaitCount("list updates", 2);
+                node.freeze();
+                say(leaving, job("h2"));
+                node.awaitCount("requests", 2);
+                line(watch, "{'version':9,'full':false,'servers':[" + node.entry("SERVING") + "]}");
+                node.awaitCount("list updates", 3);
+                node.rounds();
+                CountDownLatch gate = node.deaf();
+                disconnect(leaving);
+                node.goOn(400_000);
                 gate.countDown();
-                n.awaitCount("clients gone", 1);
-                n.rounds();
-                assertEquals("", HeldLoop.sentOn(kept, n));
+                node.awaitCount("clients gone", 1);
+                node.rounds();
+                assertEquals("", HeldLoop.sentOn(idleConnection, node));
             }
         }
     }
--- a/node/src/test/java/hookweir/net/EventLogTest.java
+++ b/node/src/test/java/hookweir/net/EventLogTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Single events in the log are bounded, and what is left out is counted. */
+/** Guards against a log flooded by a burst of events: the lines per second are bounded, and dropped events are counted. */
 final class EventLogTest {
     private static final int EVENTS = 1_000;
     private static final long SECOND_US = 1_000_000;
--- a/node/src/test/java/hookweir/net/FailuresTest.java
+++ b/node/src/test/java/hookweir/net/FailuresTest.java
@@ -23,181 +23,181 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One small test for each failure found, and for the orders in which messages of a attempt can come. */
+/** Regression tests, one for each fault found, and for the orders in which the messages of an attempt can arrive. */
 class FailuresTest {
-    /** Classes without a key come to the bare path: it was answered 404. */
+    /** Jobs of classes without a key are sent to /api without a suffix, which was once answered with 404. */
     @Test
     void apiPathWithoutKeyIsServed() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, job("a1"));
-            try (Socket w = n.worker.accept()) {
-                assertTrue(hear(w).startsWith("POST /api HTTP/1.1\r\n"));
-                say(w, TAKEN);
-                assertTrue(n.tell("a1", "s-01", "done").startsWith("HTTP/1.1 204"));
-                String answer = hear(client);
-                assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nr\u00e9s"), answer);
+            try (Socket worker = node.worker.accept()) {
+                assertTrue(hear(worker).startsWith("POST /api HTTP/1.1\r\n"));
+                say(worker, TAKEN);
+                assertTrue(node.tell("a1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                String response = hear(client);
+                assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("\r\n\r\nr\u00e9s"), response);
             }
         }
     }
 
-    /** A call-back may come before the 202, may be repeated, and counts only from the worker that has the job. */
+    /** A callback may arrive before the 202 and may be repeated, and counts only if it is from the worker that has the job. */
     @Test
     void earlyAndRepeatedCallbacksAreHandled() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
             say(client, job("a2"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                assertTrue(n.tell("a2", "s-02", "failed").startsWith("HTTP/1.1 204"));
-                assertTrue(n.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(n.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                assertTrue(node.tell("a2", "s-02", "failed").startsWith("HTTP/1.1 204"));
+                assertTrue(node.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(node.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                say(w, TAKEN);
-                assertEquals(1, n.node.invariants().counted("attempts OK"));
-                n.awaitCount("call-backs for nothing", 2); // counted after its answer
+                say(worker, TAKEN);
+                assertEquals(1, node.node.invariants().counted("attempts OK"));
+                node.awaitCount("call-backs for nothing", 2); // counted after the response is sent
             }
         }
     }
 
-    /** A connection that ends after the request's last byte and before the 202 is a reset: it may have run. */
+    /** A connection that ends after the last byte of the job and before the 202 counts as a reset: the job may have run. */
     @Test
     void resetFailsNonIdempotentJob() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
             say(client, job("a3"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
             }
             assertTrue(hear(client).startsWith("HTTP/1.1 500"));
-            assertEquals(1, n.node.invariants().counted("attempts RESET"));
+            assertEquals(1, node.node.invariants().counted("attempts RESET"));
         }
     }
 
-    /** Bad input gets its answer and no more. */
+    /** Invalid requests get an error response and have no other effect. */
     @Test
     void invalidRequestsGetErrorResponses() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
-            assertTrue(n.ask(post("/api", "Req-Id: b1\r\nReq-Kind: unheard-of\r\n", "")).startsWith("HTTP/1.1 400"));
-            assertTrue(n.ask(post("/api", "Req-Kind: render\r\n", "")).startsWith("HTTP/1.1 400"));
-            assertTrue(n.ask(post("/elsewhere", "", "")).startsWith("HTTP/1.1 404"));
-            assertTrue(n.ask(post("/callback", "", "no json")).startsWith("HTTP/1.1 400"));
-            assertTrue(n.ask("what is this\r\n\r\n").startsWith("HTTP/1.1 "));
-            assertTrue(n.ask(post("/api", "Req-Id: b2\r\nReq-Kind: render\r\n", "x".repeat(65_537))).startsWith("HTTP/1.1 413"));
-            assertTrue(n.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
+        try (TestNode node = new TestNode("read_like")) {
+            assertTrue(node.ask(post("/api", "Req-Id: b1\r\nReq-Kind: unheard-of\r\n", "")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.ask(post("/api", "Req-Kind: render\r\n", "")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.ask(post("/elsewhere", "", "")).startsWith("HTTP/1.1 404"));
+            assertTrue(node.ask(post("/callback", "", "no json")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.ask("what is this\r\n\r\n").startsWith("HTTP/1.1 "));
+            assertTrue(node.ask(post("/api", "Req-Id: b2\r\nReq-Kind: render\r\n", "x".repeat(65_537))).startsWith("HTTP/1.1 413"));
+            assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
         }
     }
 
-    /** A job whose time is up gets its final answer, and the worker that took it is told by DELETE. */
+    /** A job past its deadline gets its final response, and the worker that accepted it gets a DELETE. */
     @Test
     void jobPastDeadlineIsAbandoned() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent", 3_000_000); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("non_idempotent", 3_000_000); Socket client = node.connect()) {
             say(client, post("/api", "Req-Id: a4\r\nReq-Kind: render\r\nReq-Deadline-Ms: 3000\r\n", "work"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
                 assertTrue(hear(client).startsWith("HTTP/1.1 500"));
-                assertTrue(hear(w).startsWith("DELETE /jobs/a4 HTTP/1.1\r\n"));
+                assertTrue(hear(worker).startsWith("DELETE /jobs/a4 HTTP/1.1\r\n"));
             }
         }
     }
 
-    /** After the signal a held job is finished, its connection closed, and then the program ends. */
+    /** During a drain a pending job is completed and its connection closed, and then the process ends. */
     @Test
     void drainCompletesPendingJobs() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, job("a5"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                n.node.drain();
-                assertTrue(n.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 503"));
-                assertTrue(n.tell("a5", "s-01", "done").startsWith("HTTP/1.1 204"));
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                node.node.drain();
+                assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 503"));
+                assertTrue(node.tell("a5", "s-01", "done").startsWith("HTTP/1.1 204"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
                 assertEquals(-1, client.getInputStream().read());
-                n.loop.join(20_000);
-                assertFalse(n.loop.isAlive());
+                node.loop.join(20_000);
+                assertFalse(node.loop.isAlive());
             }
         }
     }
 
-    /** A list call that fails is made again; a watch may come in any pieces and count bad lines. */
+    /** A failed list call is repeated; the lines of a watch may be split anywhere, and invalid ones are counted. */
     @Test
     void failedWatchIsRestarted() throws Exception {
-        try (TestNode n = TestNode.unconfirmed("read_like")) {
-            try (Socket d = n.list.accept()) {
-                assertTrue(hear(d).startsWith("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\n"));
-                say(d, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        try (TestNode node = TestNode.unconfirmed("read_like")) {
+            try (Socket listService = node.list.accept()) {
+                assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\n"));
+                say(listService, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             }
-            try (Socket d = n.list.accept()) {
-                hear(d);
-                String line = ("{'version':9,'full':true,'servers':[" + n.entry("SERVING") + "]}\n").replace('\'', '"');
-                say(d, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n4\r\nbad\n\r\n");
-                say(d, "5\r\n" + line.substring(0, 5) + "\r\n" + Integer.toHexString(line.length() - 5) + "\r\n" + line.substring(5) + "\r\n");
+            try (Socket listService = node.list.accept()) {
+                hear(listService);
+                String line = ("{'version':9,'full':true,'servers':[" + node.entry("SERVING") + "]}\n").replace('\'', '"');
+                say(listService, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n4\r\nbad\n\r\n");
+                say(listService, "5\r\n" + line.substring(0, 5) + "\r\n" + Integer.toHexString(line.length() - 5) + "\r\n" + line.substring(5) + "\r\n");
             }
-            try (Socket d = n.list.accept()) {
-                assertTrue(hear(d).startsWith("GET /v1/servers?watch=1&after=9 HTTP/1.1\r\n"));
-                assertEquals(1, n.node.invariants().counted("discovery bad line"));
+            try (Socket listService = node.list.accept()) {
+                assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=9 HTTP/1.1\r\n"));
+                assertEquals(1, node.node.invariants().counted("discovery bad line"));
             }
         }
     }
 
-    /** Buffers come back to the pool: each request's headers kept one from it. */
+    /** Buffers return to the pool. Once the headers of each request kept one out of it. */
     @Test
     void buffersAreReused() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             for (int i = 0; i < 100; i++) {
                 say(client, post("/callback", "", "{\"id\":\"x\",\"from\":\"y\",\"state\":\"done\"}"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 204"));
                 say(client, post("/api", "Req-Id: b1\r\n", "work"));
-                assertTrue(hear(client).endsWith("Req-Kind is missing or unknown")); // an answer with a body
+                assertTrue(hear(client).endsWith("Req-Kind is missing or unknown")); // a response with a body
             }
-            try (Socket w = serveOnce(n, client, null, 0)) {
+            try (Socket worker = serveOnce(node, client, null, 0)) {
                 for (int i = 1; i < 15; i++) {
-                    serveOnce(n, client, w, i);
+                    serveOnce(node, client, worker, i);
                 }
             }
-            assertTrue(n.node.invariants().counted("buffers made") < 12, n.node.invariants().toString());
+            assertTrue(node.node.invariants().counted("buffers made") < 12, node.node.invariants().toString());
         }
     }
 
-    private static Socket serveOnce(TestNode n, Socket client, Socket kept, int i) throws Exception {
+    private static Socket serveOnce(TestNode node, Socket client, Socket reused, int i) throws Exception {
         say(client, job("e" + i));
-        Socket w = kept == null ? n.worker.accept() : kept;
-        hear(w);
-        say(w, TAKEN);
-        n.tell("e" + i, "s-01", "done");
+        Socket worker = reused == null ? node.worker.accept() : reused;
+        hear(worker);
+        say(worker, TAKEN);
+        node.tell("e" + i, "s-01", "done");
         assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-        return w;
+        return worker;
     }
 
-    /** Rule 3 counts from a send's first byte: a dial that comes up after word of a drain must carry nothing. */
+    /** A worker that drains must get no new job, counted from a job's first byte: a connection that opens after the drain carries nothing. */
     @Test
     @Timeout(60)
     void connectionOpenedAfterDrainCarriesNothing() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect(); Socket d = n.watch) {
+        try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect(); Socket listService = node.watch) {
             List<Socket> fillers = new ArrayList<>();
-            for (int i = 0; i < 2; i++) { // the worker's backlog of one is full, so the next dial waits
-                fillers.add(new Socket(n.worker.getInetAddress(), n.worker.getLocalPort()));
+            for (int i = 0; i < 2; i++) { // fill the worker's backlog of one, so that the next connect waits
+                fillers.add(new Socket(node.worker.getInetAddress(), node.worker.getLocalPort()));
             }
             say(client, job("a6"));
-            n.awaitCount("egress dials", 1);
-            String line = ("{'version':8,'full':false,'servers':[" + n.entry("DRAINING") + "]}\n").replace('\'', '"');
-            say(d, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-            n.awaitCount("list updates", 3);
+            node.awaitCount("egress dials", 1);
+            String line = ("{'version':8,'full':false,'servers':[" + node.entry("DRAINING") + "]}\n").replace('\'', '"');
+            say(listService, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+            node.awaitCount("list updates", 3);
             for (Socket filler : fillers) {
-                n.worker.accept().close();
+                node.worker.accept().close();
                 filler.close();
             }
-            n.awaitCount("attempts CONNECT_FAILED", 1);
-            try (Socket w = n.worker.accept()) {
-                n.node.stop();
-                assertEquals("", hear(w));
+            node.awaitCount("attempts CONNECT_FAILED", 1);
+            try (Socket worker = node.worker.accept()) {
+                node.node.stop();
+                assertEquals("", hear(worker));
             }
         }
     }
 
-    /** A client that waits for leave to send its body gets it. */
+    /** A client that sends Expect: 100-continue gets a 100 before it sends its body. */
     @Test
     void expectContinueIsAnswered() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, "POST /callback HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
             assertTrue(hear(client).startsWith("HTTP/1.1 100"));
             say(client, "{}");
@@ -205,28 +205,28 @@
         }
     }
 
-    /** A request that stood inside the body of another was passed on: it had two lengths, and is refused now. */
+    /** Request smuggling: a request inside the body of another with two lengths was once forwarded; the outer one is rejected now. */
     @Test
     void smuggledRequestIsNotForwarded() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             String hidden = job("h2");
             say(client, "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: h1\r\nReq-Kind: render\r\nTransfer-Encoding: chunked\r\nContent-Length: "
                 + (5 + hidden.length()) + "\r\n\r\n0\r\n\r\n" + hidden);
             assertTrue(hear(client).startsWith("HTTP/1.1 400"));
             assertEquals("", hear(client));
-            assertEquals(0, n.node.invariants().counted("requests"));
+            assertEquals(0, node.node.invariants().counted("requests"));
         }
     }
 
-    /** What can't be read ends a connection, but only after the answer to what was taken before it. */
+    /** Invalid input ends a connection, but only after the response to the request accepted before it. */
     @Test
     void acceptedRequestIsAnsweredBeforeTheError() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, job("h3") + "\u0001");
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                n.tell("h3", "s-01", "done");
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                node.tell("h3", "s-01", "done");
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
                 assertTrue(hear(client).startsWith("HTTP/1.1 400"));
                 assertEquals(-1, client.getInputStream().read());
@@ -234,56 +234,56 @@
         }
     }
 
-    /** Silent connections were kept for a minute, and half a request for ever. */
+    /** Silent connections were once kept for a minute, and connections with half a request forever. */
     @Test
     void silentAndSlowClientsAreDisconnected() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket silent = n.connect(); Socket slow = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket silent = node.connect(); Socket slow = node.connect()) {
             say(slow, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf");
             assertEquals(-1, silent.getInputStream().read());
             assertTrue(hear(slow).startsWith("HTTP/1.1 408"));
         }
     }
 
-    /** At the cap a client that had just come and was writing its job went before a crowd that asked once and stayed. */
+    /** At the connection limit a new client sending its job was once evicted before many idle clients that had sent one request. */
     @Test
     void idleClientsDoNotDisplaceASendingClient() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like")) {
-            while (n.node.invariants().counted("ingress closed at the cap") == 0) {
-                requestAndKeepOpen(n, crowd);
+        List<Socket> idleClients = new ArrayList<>();
+        try (TestNode node = new TestNode("read_like")) {
+            while (node.node.invariants().counted("ingress closed at the cap") == 0) {
+                requestAndKeepOpen(node, idleClients);
             }
-            try (Socket good = n.connect()) {
+            try (Socket sendingClient = node.connect()) {
                 String job = job("l1");
-                say(good, job.substring(0, job.length() / 2));
-                for (int i = 0; i < 60; i++) { // more than there is room for
-                    requestAndKeepOpen(n, crowd);
+                say(sendingClient, job.substring(0, job.length() / 2));
+                for (int i = 0; i < 60; i++) { // more than the connection limit
+                    requestAndKeepOpen(node, idleClients);
                 }
-                say(good, job.substring(job.length() / 2));
-                try (Socket w = n.worker.accept()) {
-                    hear(w);
-                    say(w, TAKEN);
-                    n.tell("l1", "s-01", "done");
-                    assertTrue(hear(good).startsWith("HTTP/1.1 200"));
+                say(sendingClient, job.substring(job.length() / 2));
+                try (Socket worker = node.worker.accept()) {
+                    hear(worker);
+                    say(worker, TAKEN);
+                    node.tell("l1", "s-01", "done");
+                    assertTrue(hear(sendingClient).startsWith("HTTP/1.1 200"));
                 }
             }
         } finally {
-            for (Socket s : crowd) {
-                s.close();
+            for (Socket client : idleClients) {
+                client.close();
             }
         }
     }
 
-    private static void requestAndKeepOpen(TestNode n, List<Socket> crowd) throws IOException {
-        Socket s = n.connect();
-        crowd.add(s);
-        say(s, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-        assertTrue(hear(s).startsWith("HTTP/1.1 200"));
+    private static void requestAndKeepOpen(TestNode node, List<Socket> idleClients) throws IOException {
+        Socket client = node.connect();
+        idleClients.add(client);
+        say(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+        assertTrue(hear(client).startsWith("HTTP/1.1 200"));
     }
 
-    /** Hundreds of requests sent ahead on one connection: closing it lost the one being answered. */
+    /** Hundreds of requests pipelined on one connection: once the connection was closed and the response being written was lost. */
     @Test
     void manyPipelinedRequestsAreAnswered() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n".repeat(400));
             for (int i = 0; i < 400; i++) {
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
@@ -291,170 +291,170 @@
         }
     }
 
-    /** A deadline that is no plain number was guessed at. */
+    /** A deadline that is not a plain decimal number is rejected; its meaning was once guessed. */
     @Test
     void malformedDeadlinesAreRejected() throws Exception {
-        try (TestNode n = new TestNode("read_like")) {
+        try (TestNode node = new TestNode("read_like")) {
             for (String odd : List.of("1e3", "-5", "0x10", "12.5", "soon", "1d", "99999999999")) {
-                assertTrue(n.ask(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
+                assertTrue(node.ask(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
             }
         }
     }
 
-    /** A JVM ends on SIGHUP unless told otherwise. */
+    /** A JVM ends on SIGHUP unless a handler is installed. */
     @Test
     void sighupIsHandled() throws Exception {
-        CountDownLatch heard = new CountDownLatch(1);
+        CountDownLatch signalled = new CountDownLatch(1);
         SighupHandler.install();
-        SighupHandler.onSignal(heard::countDown);
+        SighupHandler.onSignal(signalled::countDown);
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid())).start();
-        heard.await();
+        signalled.await();
     }
 
-    /** A reload goes over to the discovery that the file names, though a variable named another; a faulty file is passed over. */
+    /** A reload switches to the list service named in the file, despite a variable that names another; an invalid file is ignored. */
     @Test
     void reloadChangesListServiceAddress() throws Exception {
-        try (TestNode n = new TestNode("read_like"); ServerSocket next = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        try (TestNode node = new TestNode("read_like"); ServerSocket next = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             next.setSoTimeout(20_000);
-            try (Socket old = n.watch) {
+            try (Socket old = node.watch) {
                 Path file = Files.createTempFile("hookweir", ".json");
                 Map<String, String> env = Map.of("RELAY_CONFIG", file.toString(), "RELAY_DISCOVERY", "127.0.0.1:1");
                 Files.writeString(file, "{'discovery':");
-                n.node.reload(env);
-                assertEquals(1, n.node.invariants().counted("reloads refused"));
-                Files.writeString(file, n.config("127.0.0.1:" + next.getLocalPort()));
-                n.node.reload(env);
+                node.node.reload(env);
+                assertEquals(1, node.node.invariants().counted("reloads refused"));
+                Files.writeString(file, node.config("127.0.0.1:" + next.getLocalPort()));
+                node.node.reload(env);
                 Files.delete(file);
-                String list = ("{'version':3,'full':true,'servers':[" + n.entry("DRAINING") + "]}").replace('\'', '"');
-                try (Socket d = next.accept()) {
-                    assertTrue(hear(d).startsWith("GET /v1/servers HTTP/1.1\r\n")); // versions there may be counted anew
-                    say(d, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                String list = ("{'version':3,'full':true,'servers':[" + node.entry("DRAINING") + "]}").replace('\'', '"');
+                try (Socket listService = next.accept()) {
+                    assertTrue(hear(listService).startsWith("GET /v1/servers HTTP/1.1\r\n")); // the new service may count versions differently
+                    say(listService, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 }
-                try (Socket d = next.accept()) {
-                    assertTrue(hear(d).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
+                try (Socket listService = next.accept()) {
+                    assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
                 }
                 assertEquals(-1, old.getInputStream().read());
-                assertEquals(3, n.node.invariants().counted("list updates"));
+                assertEquals(3, node.node.invariants().counted("list updates"));
             }
         }
     }
 
-    /** New settings are taken whole: a new class is served, a vanished one refused, and a job under way keeps its own. */
+    /** New settings apply as a whole: a new class is served, a removed one rejected, and a pending job keeps its old settings. */
     @Test
     void reloadChangesSettings() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             Path file = Files.createTempFile("hookweir", ".json");
             Map<String, String> env = Map.of("RELAY_CONFIG", file.toString());
-            String now = n.config("127.0.0.1:" + n.list.getLocalPort());
+            String config = node.config("127.0.0.1:" + node.list.getLocalPort());
             say(client, job("r1"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                Files.writeString(file, now.replace("\"render\"", "\"paint\"").replace("\"max_attempts\":3,", ""));
-                n.node.reload(env);
-                assertTrue(n.ask(job("r2").replace("render", "paint")).startsWith("HTTP/1.1 400"));
-                Files.writeString(file, now.replace("\"render\"", "\"paint\"").replace("read_like", "non_idempotent"));
-                n.node.reload(env);
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                Files.writeString(file, config.replace("\"render\"", "\"paint\"").replace("\"max_attempts\":3,", ""));
+                node.node.reload(env);
+                assertTrue(node.ask(job("r2").replace("render", "paint")).startsWith("HTTP/1.1 400"));
+                Files.writeString(file, config.replace("\"render\"", "\"paint\"").replace("read_like", "non_idempotent"));
+                node.node.reload(env);
                 Files.delete(file);
-                n.awaitCount("reloads", 1);
-                assertTrue(n.ask(job("r3")).startsWith("HTTP/1.1 400"));
-                n.tell("r1", "s-01", "failed");
-                assertTrue(hear(client).startsWith("HTTP/1.1 429")); // its class may be repeated still
+                node.awaitCount("reloads", 1);
+                assertTrue(node.ask(job("r3")).startsWith("HTTP/1.1 400"));
+                node.tell("r1", "s-01", "failed");
+                assertTrue(hear(client).startsWith("HTTP/1.1 429")); // its class may still be retried
                 say(client, job("r4").replace("render", "paint"));
-                hear(w);
-                say(w, TAKEN);
-                n.tell("r4", "s-01", "failed");
-                assertTrue(hear(client).startsWith("HTTP/1.1 500")); // the new class may not
-                String stats = n.call("GET", "stats");
+                hear(worker);
+                say(worker, TAKEN);
+                node.tell("r4", "s-01", "failed");
+                assertTrue(hear(client).startsWith("HTTP/1.1 500")); // the new class may not be retried
+                String stats = node.call("GET", "stats");
                 assertTrue(stats.contains("svc_reload_success_total 1\n") && stats.contains("svc_reload_failure_total 1\n"), stats);
                 assertTrue(stats.contains("svc_overload_total{type=\"render\"} 1\n") && stats.contains("svc_error_total{type=\"paint\"} 1\n"), stats);
             }
         }
     }
 
-    /** An id that was answered here may still run at a worker: a second request of that id went there too. */
+    /** A job whose id was answered here may still run at a worker; a second request with that id was once sent there, too. */
     @Test
     void duplicateIdIsRejected() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             say(client, job("g1"));
-            try (Socket w = n.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                assertTrue(n.ask(job("g1")).startsWith("HTTP/1.1 409"));
-                n.tell("g1", "s-01", "done");
+            try (Socket worker = node.worker.accept()) {
+                hear(worker);
+                say(worker, TAKEN);
+                assertTrue(node.ask(job("g1")).startsWith("HTTP/1.1 409"));
+                node.tell("g1", "s-01", "done");
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                assertTrue(n.ask(job("g1")).startsWith("HTTP/1.1 409"));
+                assertTrue(node.ask(job("g1")).startsWith("HTTP/1.1 409"));
             }
         }
     }
 
-    /** The same bad request as soon as it is refused took thousands of turns of the loop; now there are pauses. */
+    /** A client that repeated a bad request as soon as it was rejected once took thousands of turns of the loop; such requests are delayed now. */
     @Test
     void repeatedBadRequestIsDelayed() throws Exception {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             for (int i = 0; i < 6; i++) {
                 say(client, post("/api", "Req-Id: i1\r\nReq-Kind: none\r\n", ""));
                 assertTrue(hear(client).startsWith("HTTP/1.1 400"));
             }
-            assertTrue(n.node.invariants().counted("ingress held back") >= 2);
-            assertTrue(n.ask(job("i2").replace("render", "none")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.node.invariants().counted("ingress held back") >= 2);
+            assertTrue(node.ask(job("i2").replace("render", "none")).startsWith("HTTP/1.1 400"));
         }
     }
 
-    /** Kept links that break under their next call failed jobs that must not run twice; these get links of their own. */
+    /** Reused connections that broke under their next call once failed non-idempotent jobs; these now get new connections. */
     @Test
     void nonIdempotentJobsAvoidUnreliableReusedConnections() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
-            try (Socket w = serveOnce(n, client, null, 0)) {
+        try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
+            try (Socket worker = serveOnce(node, client, null, 0)) {
                 say(client, job("k1"));
-                hear(w);
+                hear(worker);
             }
             assertTrue(hear(client).startsWith("HTTP/1.1 500"));
-            try (Socket first = serveOnce(n, client, null, 2); Socket second = serveOnce(n, client, null, 3)) {
+            try (Socket first = serveOnce(node, client, null, 2); Socket second = serveOnce(node, client, null, 3)) {
                 assertTrue(first.isConnected() && second.isConnected());
             }
         }
     }
 
-    /** A probe that broke a kept link spoke against the worker; it is sent once more on a link of its own. */
+    /** A probe whose reused connection broke once counted as a failure of the worker; it is now retried on a new connection. */
     @Test
     void probeOnBrokenConnectionIsRetried() throws Exception {
-        try (TestNode n = new TestNode("read_like", 20_000_000, true); Socket client = n.connect()) {
-            Thread worker = new Thread(() -> {
+        try (TestNode node = new TestNode("read_like", 20_000_000, true); Socket client = node.connect()) {
+            Thread workerThread = new Thread(() -> {
                 try {
                     while (true) {
-                        Socket w = n.worker.accept();
-                        new Thread(() -> serveOneProbe(n, w)).start();
+                        Socket worker = node.worker.accept();
+                        new Thread(() -> serveOneProbe(node, worker)).start();
                     }
                 } catch (IOException e) {
-                    assertTrue(n.worker.isClosed());
+                    assertTrue(node.worker.isClosed());
                 }
             });
-            worker.start();
-            for (int i = 0; n.node.invariants().counted("errands once more") == 0; i++) {
+            workerThread.start();
+            for (int i = 0; node.node.invariants().counted("errands once more") == 0; i++) {
                 say(client, job("p" + i));
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
             }
-            assertEquals(0, n.node.invariants().counted("attempts RESET"));
+            assertEquals(0, node.node.invariants().counted("attempts RESET"));
         }
     }
 
-    private static void serveOneProbe(TestNode n, Socket w) {
-        try (w) {
+    private static void serveOneProbe(TestNode node, Socket worker) {
+        try (worker) {
             int probes = 0;
-            for (String call = hear(w); !call.isEmpty(); call = hear(w)) {
+            for (String call = hear(worker); !call.isEmpty(); call = hear(worker)) {
                 if (call.startsWith("POST")) {
-                    say(w, TAKEN);
-                    int at = call.indexOf("Req-Id: ") + 8;
-                    n.tell(call.substring(at, call.indexOf('\r', at)), "s-01", "done");
+                    say(worker, TAKEN);
+                    int idAt = call.indexOf("Req-Id: ") + 8;
+                    node.tell(call.substring(idAt, call.indexOf('\r', idAt)), "s-01", "done");
                 } else if (probes++ == 0) {
-                    say(w, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
+                    say(worker, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
                 } else {
                     return;
                 }
             }
         } catch (IOException e) {
-            assertNotNull(e); // the scheduler may end it, too
+            assertNotNull(e); // the scheduler may close the connection, too
         }
     }
 }
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -31,63 +31,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fleets of more workers and schedulers than any trial has: lists, settings, links and call-backs have no cap below them. */
+/** Guards against size limits that a large fleet would hit, in lists, settings, worker connections and callbacks. */
 @Timeout(60)
 final class FleetSizeTest {
     private static final int WORKERS = 1100;
 
-    /** Workers that drain, numbered from 0x1000, with long names of their own kinds and cells. */
+    /** Returns list entries of draining workers, numbered from 0x1000, with long names and many cells. */
     private static String draining(int count) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder entries = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(",{'id':'s-").append("0".repeat(40)).append(Integer.toHexString(0x1000 + i)).append("','addr':'127.0.0.1:9','zone':'a',")
+            entries.append(",{'id':'s-").append("0".repeat(40)).append(Integer.toHexString(0x1000 + i)).append("','addr':'127.0.0.1:9','zone':'a',")
                 .append("'kind':'m','cell':").append(i % 97).append(",'state':'DRAINING','weight':1.0,'started_ms':1700000000000}");
         }
-        return all.toString();
+        return entries.toString();
     }
 
-    /** The one that serves is found among all. */
-    private static void assertServes(TestNode n, Socket client, int count) throws Exception {
-        n.awaitCount("list updates", 1);
-        AutoWorker worker = new AutoWorker(n, true);
+    /** Checks that jobs reach the one serving worker among all. */
+    private static void assertServes(TestNode node, Socket client, int count) throws Exception {
+        node.awaitCount("list updates", 1);
+        AutoWorker worker = new AutoWorker(node, true);
         for (int i = 0; i < 5; i++) {
             say(client, job("w" + i));
             assertTrue(hear(client).startsWith("HTTP/1.1 200"));
         }
         assertEquals(5, worker.jobs.get());
-        assertEquals(0, n.node.invariants().counted("discovery bad line") + n.node.invariants().counted("discovery line too long"));
-        while (!n.call("GET", "stats").contains(" " + count + "\n")) { // told anew from time to time
+        assertEquals(0, node.node.invariants().counted("discovery bad line") + node.node.invariants().counted("discovery line too long"));
+        while (!node.call("GET", "stats").contains(" " + count + "\n")) { // the statistics are updated periodically
             Thread.sleep(20);
         }
     }
 
-    /** On a watch, in one line. */
+    /** A change on the watch, in one line. */
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
     void largeListLineIsApplied(int count) throws Exception {
-        try (TestNode n = TestNode.pushed(); Socket watch = n.watched(); Socket client = n.connect()) {
-            line(watch, "{'version':8,'full':true,'servers':[" + n.entry("SERVING") + draining(count - 1) + "]}");
-            n.awaitCount("list updates", 2);
-            assertServes(n, client, count);
+        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect()) {
+            line(watch, "{'version':8,'full':true,'servers':[" + node.entry("SERVING") + draining(count - 1) + "]}");
+            node.awaitCount("list updates", 2);
+            assertServes(node, client, count);
         }
     }
 
-    /** As the answer to a call for the whole list. */
+    /** The response to a request for the whole list. */
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
     void largeWholeListIsApplied(int count) throws Exception {
-        try (TestNode n = TestNode.pushed(); Socket call = n.list.accept(); Socket client = n.connect()) {
+        try (TestNode node = TestNode.pushed(); Socket call = node.list.accept(); Socket client = node.connect()) {
             hear(call);
-            String whole = "{'version':8,'full':true,'servers':[" + n.entry("SERVING") + draining(count - 1) + "]}";
+            String whole = "{'version':8,'full':true,'servers':[" + node.entry("SERVING") + draining(count - 1) + "]}";
             say(call, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole.replace('\'', '"'));
-            try (Socket watch = n.watchedFrom(8)) {
-                assertServes(n, client, count);
+            try (Socket watch = node.watchedFrom(8)) {
+                assertServes(node, client, count);
                 assertTrue(watch.isConnected());
             }
         }
     }
 
-    /** As many in the list as last held, and the settings of as many schedulers. */
+    /** A cached worker list of 4096 workers, and the settings of as many schedulers. */
     @Test
     void largeConfigurationIsRead() throws Exception {
         Path file = Files.createTempFile("hookweir", ".json");
@@ -104,44 +104,44 @@
         }
     }
 
-    /** More workers than links may be open: each gets one in its turn, and none is refused for those that rest. */
+    /** More workers than connections may be open: each gets one in turn, as idle connections to others make way. */
     @Test
     void everyWorkerGetsAConnectionOverTheDescriptorLimit() throws Exception {
         Invariants invariants = new Invariants();
         Loop loop = new Loop(invariants);
         Transport transport = new Transport(invariants, loop);
-        ResourceBudget room = new ResourceBudget(1 << 20, 100);
-        room.setMaxDescriptors(100);
-        WorkerConnectionPool egress = new WorkerConnectionPool(loop, new Connector(loop, transport), invariants, 20_000_000, 20_000_000, room, () -> 0);
+        ResourceBudget budget = new ResourceBudget(1 << 20, 100);
+        budget.setMaxDescriptors(100);
+        WorkerConnectionPool pool = new WorkerConnectionPool(loop, new Connector(loop, transport), invariants, 20_000_000, 20_000_000, budget, () -> 0);
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
-        try (ServerSocket door = new ServerSocket(0, 4096, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket listener = new ServerSocket(0, 4096, InetAddress.getLoopbackAddress())) {
             transport.start();
             new Thread(loop::run).start();
-            InetSocketAddress at = new InetSocketAddress(door.getInetAddress(), door.getLocalPort());
+            InetSocketAddress address = new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
             for (int i = 0; i < WORKERS; i++) {
                 int id = i;
                 loop.post(() -> {
-                    egress.applyUpdate(id, "s-" + id, at, Contract.WorkerState.READY);
-                    egress.acquire(egress.worker(id), new OutboundConnection.Handler() {
+                    pool.applyUpdate(id, "s-" + id, address, Contract.WorkerState.READY);
+                    pool.acquire(pool.worker(id), new OutboundConnection.Handler() {
                         @Override
-                        public void connected(OutboundConnection link) {
-                            egress.release(egress.worker(id), link, true);
-                            sizes.add(egress.connectionCount());
+                        public void connected(OutboundConnection connection) {
+                            pool.release(pool.worker(id), connection, true);
+                            sizes.add(pool.connectionCount());
                         }
 
                         @Override
-                        public void responsePart(OutboundConnection link, OutboundConnection.ResponsePart piece) {
+                        public void responsePart(OutboundConnection connection, OutboundConnection.ResponsePart part) {
                         }
 
                         @Override
-                        public void disconnected(OutboundConnection link) {
+                        public void disconnected(OutboundConnection connection) {
                             sizes.add(Integer.MAX_VALUE);
                         }
                     }, WorkerConnectionPool.REUSE_ANY);
                 });
                 assertTrue(sizes.take() <= 100 * ResourceBudget.MAX_WORKER_CONNECTION_SHARE + 1, "worker " + i);
             }
-            assertEquals(WORKERS, egress.workerCount());
+            assertEquals(WORKERS, pool.workerCount());
             assertEquals(0, invariants.counted("egress out of links"));
         } finally {
             loop.post(loop::stop);
@@ -149,15 +149,15 @@
         }
     }
 
-    /** All of so many workers call at once while the loop has other things to do: all wait in the backlog, and are answered. */
+    /** All workers call back at once while the loop is blocked: the callbacks wait in the accept backlog, and are answered. */
     @Test
     void simultaneousCallbacksWaitInTheBacklog() throws Exception {
         List<Socket> workers = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':2048")) {
-            n.settle();
-            CountDownLatch gate = n.deaf();
+        try (TestNode node = new TestNode("read_like", 20_000_000, "'sockets':2048")) {
+            node.settle();
+            CountDownLatch gate = node.deaf();
             for (int i = 0; i < WORKERS; i++) {
-                Socket worker = n.connect();
+                Socket worker = node.connect();
                 workers.add(worker);
                 say(worker, post("/callback", "", "{'id':'none','from':'s-01','state':'done'}".replace('\'', '"')));
             }
@@ -172,23 +172,23 @@
         }
     }
 
-    /** Each of so many workers calls back on a connection of its own and keeps it, where there are fewer descriptors. */
+    /** Each worker calls back on its own connection and keeps it open, with fewer descriptors than workers. */
     @Test
     void callbackConnectionsOverTheDescriptorLimitAreServed() throws Exception {
         List<Socket> workers = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':1024"); Socket client = n.connect()) {
+        try (TestNode node = new TestNode("read_like", 20_000_000, "'sockets':1024"); Socket client = node.connect()) {
             say(client, job("c1"));
-            try (Socket link = n.worker.accept()) {
-                hear(link);
-                say(link, TAKEN);
+            try (Socket connection = node.worker.accept()) {
+                hear(connection);
+                say(connection, TAKEN);
                 String running = "{'id':'c1','from':'s-01','state':'running','share':0.5}".replace('\'', '"');
                 for (int i = 0; i < WORKERS; i++) {
-                    Socket worker = n.connect();
+                    Socket worker = node.connect();
                     workers.add(worker);
                     say(worker, post("/callback", "", running));
                     assertTrue(hear(worker).startsWith("HTTP/1.1 204"), "worker " + i);
                 }
-                n.tell("c1", "s-01", "done");
+                node.tell("c1", "s-01", "done");
                 assertTrue(hear(client).startsWith("HTTP/1.1 200"));
             }
         } finally {
--- a/node/src/test/java/hookweir/net/RequestDecoderTest.java
+++ b/node/src/test/java/hookweir/net/RequestDecoderTest.java
@@ -15,34 +15,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is framed beyond doubt passes however cut; anything else is a fault, with nothing read after it. */
+/**
+ * Guards against request smuggling and misread messages: unambiguously framed requests are decoded in any chunking, anything else is
+ * rejected, and nothing after it is read.
+ */
 class RequestDecoderTest {
     private static final String PLAIN = "POST /api/7f?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id: 1\r\nContent-Length: 4\r\n\r\nwork";
     private static final String CHUNKED = "POST /api HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: 1\r\n\r\n";
     private static final String BARE = "GET /healthz HTTP/1.0\r\n\r\n";
 
-    /** Messages that ended in these bytes, fed in pieces; a fault as its negative. */
-    private static int read(RequestDecoder f, byte[] bytes, List<Integer> lengths) {
+    /** Returns the number of messages that ended in these bytes, fed in parts; or the negated status of a fault. */
+    private static int read(RequestDecoder decoder, byte[] bytes, List<Integer> lengths) {
         int messages = 0;
         for (int from = 0, i = 0; from < bytes.length; i++) {
             int to = i < lengths.size() ? Math.min(bytes.length, from + lengths.get(i)) : bytes.length;
-            int end = feed(f, bytes, from, to) - from;
-            if (f.fault() != 0) {
-                return -f.fault();
+            int end = feed(decoder, bytes, from, to) - from;
+            if (decoder.fault() != 0) {
+                return -decoder.fault();
             }
             assertTrue(end > 0);
-            messages += f.isComplete() ? 1 : 0;
+            messages += decoder.isComplete() ? 1 : 0;
             from += end;
         }
         return messages;
     }
 
-    /** As the ingress does where there is always room. */
-    private static int feed(RequestDecoder f, byte[] bytes, int from, int to) {
-        int end = f.feed(bytes, from, to);
-        while (f.announcedBodyBytes() > 0 && f.fault() == 0) {
-            f.admitBody();
-            end = f.feed(bytes, end, to);
+    /** Feeds bytes as the HTTP server does when the memory budget admits every body. */
+    private static int feed(RequestDecoder decoder, byte[] bytes, int from, int to) {
+        int end = decoder.feed(bytes, from, to);
+        while (decoder.announcedBodyBytes() > 0 && decoder.fault() == 0) {
+            decoder.admitBody();
+            end = decoder.feed(bytes, end, to);
         }
         return end;
     }
@@ -53,9 +56,9 @@
 
     @Property(seed = "21", tries = 300)
     void messageEndsAreFoundInAnyChunking(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> lengths) {
-        RequestDecoder f = new RequestDecoder();
-        assertEquals(4, read(f, (PLAIN + CHUNKED + BARE + PLAIN).getBytes(StandardCharsets.US_ASCII), lengths));
-        assertFalse(f.isMidMessage());
+        RequestDecoder decoder = new RequestDecoder();
+        assertEquals(4, read(decoder, (PLAIN + CHUNKED + BARE + PLAIN).getBytes(StandardCharsets.US_ASCII), lengths));
+        assertFalse(decoder.isMidMessage());
     }
 
     @Property(seed = "22", tries = 1000)
@@ -68,7 +71,7 @@
         assertTrue(read(new RequestDecoder(), bytes, lengths) <= 2);
     }
 
-    /** Each of these was let through, or left waiting, by the codec alone. */
+    /** The HTTP library alone accepted each of these heads, or waited for more bytes. */
     @ParameterizedTest
     @CsvSource({
         "400, 'Content-Length: 4|Transfer-Encoding: chunked'", "400, 'Transfer-Encoding: chunked|Content-Length: 4'",
--- a/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
+++ b/node/src/test/java/hookweir/net/discovery/FaultyListTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What discovery gets wrong costs the entry at fault, not the rest of the list, and is told once. */
+/**
+ * Guards against a faulty list entry making the whole list unusable, or filling the log: an invalid entry is skipped, the others
+ * are used, and the same error is logged once.
+ */
 final class FaultyListTest {
     private static final String GOOD = entry("s-01", "SERVING");
     private final Invariants invariants = new Invariants();
@@ -30,17 +33,17 @@
         "{'addr':'127.0.0.1:81','state':'SERVING'}", "{'id':'s-02','state':'SERVING'}", "{'id':'s-02','addr':'here','state':'SERVING'}",
         "{'id':'s-02','addr':'127.0.0.1:81','state':'ASLEEP'}", "{'id':'s-02','addr':'127.0.0.1:81'}", "7", "null", "[]"})
     void unreadableEntryIsSkipped(String bad) {
-        ListUpdate u = parse(bad + "," + GOOD);
-        assertEquals(List.of("s-01"), u.entries().stream().map(ListUpdate.Entry::name).toList());
+        ListUpdate update = parse(bad + "," + GOOD);
+        assertEquals(List.of("s-01"), update.entries().stream().map(ListUpdate.Entry::name).toList());
         assertEquals(1, invariants.counted("discovery bad entry"));
         assertEquals(1, invariants.counted("discovery complaints logged"));
     }
 
     @Test
     void laterOfTwoEntriesForOneIdWins() {
-        ListUpdate u = parse(GOOD + "," + entry("s-01", "DRAINING"));
-        assertEquals(1, u.entries().size());
-        assertEquals(hookweir.Contract.WorkerState.DRAINING, u.entries().get(0).worker().state);
+        ListUpdate update = parse(GOOD + "," + entry("s-01", "DRAINING"));
+        assertEquals(1, update.entries().size());
+        assertEquals(hookweir.Contract.WorkerState.DRAINING, update.entries().get(0).worker().state);
         assertEquals(1, invariants.counted("discovery entry twice"));
     }
 
@@ -48,14 +51,14 @@
     void unreadableWholeListIsIgnored() {
         assertNotNull(parse(GOOD));
         assertNull(parse(entry("s-01", "ASLEEP") + "," + entry("s-02", "ASLEEP")));
-        assertEquals(1, parser.workerCount(), "the list as held stands");
-        assertEquals(0, parse("").entries().size(), "an empty list is what it says");
+        assertEquals(1, parser.workerCount(), "the cached list stays valid");
+        assertEquals(0, parse("").entries().size(), "a list without entries is an empty fleet");
     }
 
     @Test
     void startTimeInTheFutureIsReported() {
         parse(GOOD.replace("'started_ms':0", "'started_ms':999"));
-        assertEquals(0, invariants.counted("discovery start ahead"), "clocks differ by so much");
+        assertEquals(0, invariants.counted("discovery start ahead"), "clocks may differ by this much");
         parse(GOOD.replace("'started_ms':0", "'started_ms':3600000"));
         assertEquals(1, invariants.counted("discovery start ahead"));
     }
@@ -71,6 +74,6 @@
             parse("{'id':'x-" + i + "'}," + GOOD);
         }
         parse("{'id':'s-02'}," + GOOD);
-        assertEquals(ListErrorLog.MAX_REMEMBERED + 2, invariants.counted("discovery complaints logged"), "forgotten after so many others");
+        assertEquals(ListErrorLog.MAX_REMEMBERED + 2, invariants.counted("discovery complaints logged"), "logged again once it is no longer remembered");
     }
 }
