--- a/node/src/test/java/hookweir/net/AutoWorker.java
+++ b/node/src/test/java/hookweir/net/AutoWorker.java
@@ -21,7 +21,7 @@
     private final boolean completesJobs;
 
     AutoWorker(TestNode node, boolean completesJobs) {
-        this(node, node.worker, "s-01", completesJobs, Integer.MAX_VALUE);
+        this(node, node.workerListener, "s-01", completesJobs, Integer.MAX_VALUE);
     }
 
     /** A worker of this name at this listener; it serves at most {@code maxConnections} connections and closes further ones unread. */
@@ -69,9 +69,9 @@
                 String job = head.substring(idAt, head.indexOf('\r', idAt));
                 ids.add(job);
                 jobs.incrementAndGet();
-                socket.getOutputStream().write(TestNode.TAKEN.getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(TestNode.ACCEPTED.getBytes(StandardCharsets.US_ASCII));
                 if (completesJobs) {
-                    node.tell(job, name, "done");
+                    node.sendCallback(job, name, "done");
                 }
             } else {
                 socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/node/src/test/java/hookweir/net/CancelStagesTest.java
+++ b/node/src/test/java/hookweir/net/CancelStagesTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,15 +21,15 @@
     @Test
     void stalledCallbackIsRepeated() throws Exception {
         try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect(); Socket callback = node.connect()) {
-            say(client, job("c9"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
+            send(client, job("c9"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
                 String whole = TestNode.post("/callback", "", "{\"id\":\"c9\",\"from\":\"s-01\",\"state\":\"done\",\"result\":\"r\"}");
-                say(callback, whole.substring(0, whole.length() - 9));
-                assertEquals("", hear(callback));
-                assertTrue(node.tell("c9", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                send(callback, whole.substring(0, whole.length() - 9));
+                assertEquals("", receive(callback));
+                assertTrue(node.sendCallback("c9", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
@@ -39,9 +39,9 @@
     void jobBeingSentIsCancelled() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
             Socket client = node.connect(); // not in a try block, as the test closes it
-            say(client, job("c2"));
-            try (Socket worker = node.worker.accept()) {
-                assertTrue(hear(worker).startsWith("POST /api"));
+            send(client, job("c2"));
+            try (Socket worker = node.workerListener.accept()) {
+                assertTrue(receive(worker).startsWith("POST /api"));
                 client.close();
                 String next = readOrNullAtEnd(worker);
                 assertTrue(next == null || next.startsWith("DELETE /jobs/c2 HTTP/1.1\r\n"), "after the client disconnected: " + next);
@@ -55,14 +55,14 @@
     void acceptedJobIsCancelledByDelete() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
             Socket client = node.connect(); // not in a try block, as the test closes it
-            say(client, job("c4"));
-            try (Socket worker = node.worker.accept()) {
-                assertTrue(hear(worker).startsWith("POST /api"));
-                say(worker, TAKEN);
+            send(client, job("c4"));
+            try (Socket worker = node.workerListener.accept()) {
+                assertTrue(receive(worker).startsWith("POST /api"));
+                send(worker, ACCEPTED);
                 node.awaitCount("egress dials", 1);
                 client.close();
-                assertTrue(hear(worker).startsWith("DELETE /jobs/c4 HTTP/1.1\r\n"));
-                assertTrue(node.tell("c4", "s-01", "done").startsWith("HTTP/1.1 2"), "a late callback is accepted and ignored");
+                assertTrue(receive(worker).startsWith("DELETE /jobs/c4 HTTP/1.1\r\n"));
+                assertTrue(node.sendCallback("c4", "s-01", "done").startsWith("HTTP/1.1 2"), "a late callback is accepted and ignored");
             }
             assertStillServing(node);
         }
@@ -70,7 +70,7 @@
 
     private static String readOrNullAtEnd(Socket worker) throws java.io.IOException {
         try {
-            String received = hear(worker);
+            String received = receive(worker);
             return received.isEmpty() ? null : received; // empty: the connection was closed
         } catch (java.io.EOFException | java.net.SocketException e) {
             return null;
@@ -79,6 +79,6 @@
 
     /** Checks that the scheduler still answers its health check. */
     private static void assertStillServing(TestNode node) throws Exception {
-        assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "it stopped serving");
+        assertTrue(node.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "it stopped serving");
     }
 }
--- a/node/src/test/java/hookweir/net/ClosingTest.java
+++ b/node/src/test/java/hookweir/net/ClosingTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -29,9 +29,9 @@
 
     private static Socket idleConnection(TestNode node) throws IOException {
         Socket client = node.connect();
-        say(client, HEALTHZ);
-        assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-        node.ask(HEALTHZ); // by now the loop has seen that the first response was written
+        send(client, HEALTHZ);
+        assertTrue(receive(client).startsWith("HTTP/1.1 200"));
+        node.request(HEALTHZ); // by now the loop has seen that the first response was written
         return client;
     }
 
@@ -39,11 +39,11 @@
     @Test
     void requestReceivedBeforeSigtermIsAnswered() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = idleConnection(node)) {
-            CountDownLatch gate = node.deaf();
-            say(client, HEALTHZ);
+            CountDownLatch gate = node.blockLoop();
+            send(client, HEALTHZ);
             node.node.drain();
             gate.countDown();
-            assertTrue(hear(client).startsWith("HTTP/1.1 503"));
+            assertTrue(receive(client).startsWith("HTTP/1.1 503"));
             assertCleanEnd(client);
         }
     }
@@ -52,19 +52,19 @@
     @Test
     void requestAfterShutdownIsNotForwarded() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = idleConnection(node); Socket pendingClient = node.connect()) {
-            say(pendingClient, job("s0"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
+            send(pendingClient, job("s0"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
                 node.node.drain();
                 assertCleanEnd(client);
-                say(client, job("s1"));
-                say(client, job("s2"));
+                send(client, job("s1"));
+                send(client, job("s2"));
                 node.awaitCount("ingress bytes after the end", 1);
-                node.tell("s0", "s-01", "done");
-                assertTrue(hear(pendingClient).startsWith("HTTP/1.1 200"));
-                node.loop.join(20_000);
-                assertFalse(node.loop.isAlive());
+                node.sendCallback("s0", "s-01", "done");
+                assertTrue(receive(pendingClient).startsWith("HTTP/1.1 200"));
+                node.loopThread.join(20_000);
+                assertFalse(node.loopThread.isAlive());
                 assertEquals(1, node.node.invariants().counted("requests"));
             }
         }
@@ -74,10 +74,10 @@
     @Test
     void bytesAfterLastRequestAreDiscarded() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, HEALTHZ.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-            assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+            send(client, HEALTHZ.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+            assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             assertCleanEnd(client);
-            say(client, HEALTHZ);
+            send(client, HEALTHZ);
             node.awaitCount("ingress bytes after the end", 1);
         }
     }
@@ -86,23 +86,23 @@
     @Test
     void connectionWithoutRequestIsClosedOnSigterm() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket silent = node.connect()) {
-            assertTrue(node.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
+            assertTrue(node.request(HEALTHZ).startsWith("HTTP/1.1 200"));
             node.node.drain();
             assertCleanEnd(silent);
             assertEquals(0, node.node.invariants().counted("ingress silent"), "closed by the drain, not by the idle timeout");
-            node.loop.join(20_000);
-            assertFalse(node.loop.isAlive());
+            node.loopThread.join(20_000);
+            assertFalse(node.loopThread.isAlive());
         }
     }
 
     /** Bytes after an admin request are read and discarded, too. */
     @Test
     void bytesAfterAdminRequestAreDiscarded() throws Exception {
-        try (TestNode node = new TestNode("read_like"); Socket operator = node.admin()) {
-            say(operator, "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertTrue(hear(operator).startsWith("HTTP/1.1 200"));
+        try (TestNode node = new TestNode("read_like"); Socket operator = node.connectAdmin()) {
+            send(operator, "GET /admin/health HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertTrue(receive(operator).startsWith("HTTP/1.1 200"));
             assertCleanEnd(operator);
-            say(operator, HEALTHZ);
+            send(operator, HEALTHZ);
             node.awaitCount("admin bytes after the end", 1);
         }
     }
@@ -116,12 +116,12 @@
             for (int i = 0; i < 40; i++) {
                 requests.append(job("f" + i));
             }
-            say(client, requests.toString());
-            try (Socket worker = node.worker.accept()) {
-                assertTrue(hear(worker).contains("Req-Id: f0\r\n"));
-                say(worker, TAKEN);
+            send(client, requests.toString());
+            try (Socket worker = node.workerListener.accept()) {
+                assertTrue(receive(worker).contains("Req-Id: f0\r\n"));
+                send(worker, ACCEPTED);
                 client.close();
-                assertTrue(hear(worker).startsWith("DELETE /jobs/f0 HTTP/1.1\r\n"));
+                assertTrue(receive(worker).startsWith("DELETE /jobs/f0 HTTP/1.1\r\n"));
                 node.awaitCount("clients gone", 1);
                 assertEquals(1, node.node.invariants().counted("requests"));
             }
@@ -137,12 +137,12 @@
                 requests.append(job("g" + i));
             }
             new AutoWorker(node, true).jobs.get();
-            CountDownLatch gate = node.deaf();
-            say(client, requests.toString());
+            CountDownLatch gate = node.blockLoop();
+            send(client, requests.toString());
             gate.countDown();
             int served = 0;
-            String response = hear(client);
-            for (; response.startsWith("HTTP/1.1 200"); response = hear(client)) {
+            String response = receive(client);
+            for (; response.startsWith("HTTP/1.1 200"); response = receive(client)) {
                 served++;
             }
             assertTrue(response.startsWith("HTTP/1.1 429"), response);
@@ -155,15 +155,15 @@
     @Test
     void pipelinedRequestIsAnsweredBeforeDrainClosesConnection() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, job("h1") + job("h2"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
+            send(client, job("h1") + job("h2"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
                 node.node.drain();
-                node.ask(HEALTHZ);
-                node.tell("h1", "s-01", "done");
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 "), "a response to the accepted request");
+                node.request(HEALTHZ);
+                node.sendCallback("h1", "s-01", "done");
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 "), "a response to the accepted request");
                 assertCleanEnd(client);
             }
         }
@@ -174,10 +174,10 @@
     void disconnectOfClientThatSentTooMuchIsNoticed() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
             Socket client = node.connect(); // not in a try block, as the test closes it
-            say(client, job("i1"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(client, "\0".repeat(600_000));
+            send(client, job("i1"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(client, "\0".repeat(600_000));
                 node.awaitCount("ingress unreadable 400", 1);
                 client.close();
                 node.awaitCount("clients gone", 1);
@@ -188,24 +188,24 @@
     /** At exit a client's connection without a request so far is closed cleanly, not reset under its first request. */
     @Test
     void newConnectionIsClosedCleanlyAtExit() throws Exception {
-        try (TestNode node = TestNode.frozen("read_like")) {
-            node.step(650_000);
+        try (TestNode node = TestNode.withFrozenClock("read_like")) {
+            node.advanceFrozenClock(650_000);
             node.node.drain();
-            node.rounds();
-            node.step(470_000);
-            node.rounds();
+            node.awaitIoRounds();
+            node.advanceFrozenClock(470_000);
+            node.awaitIoRounds();
             try (Socket client = node.connect()) {
-                node.rounds();
-                node.step(280_000); // a sweep finds the connection recent
-                node.rounds();
-                node.step(170_000); // before the next sweep the first request is overdue and the process could exit
-                node.rounds();
-                say(client, HEALTHZ);
-                assertTrue(hear(client).startsWith("HTTP/1.1 503"));
+                node.awaitIoRounds();
+                node.advanceFrozenClock(280_000); // a sweep finds the connection recent
+                node.awaitIoRounds();
+                node.advanceFrozenClock(170_000); // before the next sweep the first request is overdue and the process could exit
+                node.awaitIoRounds();
+                send(client, HEALTHZ);
+                assertTrue(receive(client).startsWith("HTTP/1.1 503"));
                 assertCleanEnd(client);
-                node.goOn(0);
+                node.resumeClock(0);
             }
-            node.loop.join();
+            node.loopThread.join();
         }
     }
 }
--- a/node/src/test/java/hookweir/net/ConnectCountTest.java
+++ b/node/src/test/java/hookweir/net/ConnectCountTest.java
@@ -26,16 +26,16 @@
     @ParameterizedTest
     @CsvSource({"1,4", "1,256", "10,64", "100,256"})
     void busyWorkerReusesConnections(int workers, int concurrentJobs) throws Exception {
-        try (LinkPool pool = new LinkPool(8192)) {
+        try (ConnectionPoolFixture pool = new ConnectionPoolFixture(8192)) {
             for (int worker = 2; worker <= workers; worker++) {
                 int id = worker;
-                pool.bare.loop.post(() -> pool.egress.applyUpdate(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    pool.door.getLocalPort()), Contract.WorkerState.READY));
+                pool.io.loop.post(() -> pool.pool.applyUpdate(id, "s-" + id, new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                    pool.workerListener.getLocalPort()), Contract.WorkerState.READY));
             }
             Thread acceptor = new Thread(pool::acceptAll);
             acceptor.setDaemon(true);
             acceptor.start();
-            long jobs = pool.play(workers, concurrentJobs, new Random(7));
+            long jobs = pool.runJobs(workers, concurrentJobs, new Random(7));
             long connects = pool.invariants.counted("egress dials");
             assertTrue(connects < 0.05 * jobs, connects + " connects for " + jobs + " jobs");
         }
@@ -44,11 +44,11 @@
     /** The descriptor limit allows two connections: jobs share them, and neither is closed to make way for the next job. */
     @Test
     void connectionsAreSharedAtTheDescriptorLimit() throws Exception {
-        try (LinkPool pool = new LinkPool(4)) {
+        try (ConnectionPoolFixture pool = new ConnectionPoolFixture(4)) {
             Thread acceptor = new Thread(pool::acceptAll);
             acceptor.setDaemon(true);
             acceptor.start();
-            pool.play(1, 2, new Random(7));
+            pool.runJobs(1, 2, new Random(7));
             assertEquals(2, pool.invariants.counted("egress dials"));
         }
     }
@@ -56,15 +56,15 @@
     /** At the maximum number of waiting calls, the next call fails at once. */
     @Test
     void numberOfWaitingCallsIsBounded() throws Exception {
-        try (LinkPool pool = new LinkPool(4)) {
-            pool.link();
-            pool.link();
-            pool.up.take();
-            pool.up.take();
+        try (ConnectionPoolFixture pool = new ConnectionPoolFixture(4)) {
+            pool.acquire();
+            pool.acquire();
+            pool.acquired.take();
+            pool.acquired.take();
             CountDownLatch rejected = new CountDownLatch(1);
-            pool.bare.loop.post(() -> {
+            pool.io.loop.post(() -> {
                 for (int i = 0; i <= MAX_WAITING; i++) {
-                    pool.egress.acquire(pool.egress.worker(1), new LinkPool.Silent() {
+                    pool.pool.acquire(pool.pool.worker(1), new ConnectionPoolFixture.IgnoringHandler() {
                         @Override
                         public void connectionUnavailable() {
                             rejected.countDown();
--- a/node/src/test/java/hookweir/net/CrowdedConnections.java
+++ b/node/src/test/java/hookweir/net/CrowdedConnections.java
@@ -1,10 +1,10 @@
 package hookweir.net;
 
-import static hookweir.net.HeldLoop.afterReading;
-import static hookweir.net.HeldLoop.many;
+import static hookweir.net.PausedLoop.pauseAfterReading;
+import static hookweir.net.PausedLoop.workerEntries;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.line;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.send;
+import static hookweir.net.TestNode.sendListLine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,15 +31,15 @@
     final long connectCount;
 
     CrowdedConnections() throws Exception {
-        line(node.watch, "{'version':8,'full':true,'servers':[" + many(node, workerListener, "SERVING", WORKERS) + "]}");
+        sendListLine(node.watch, "{'version':8,'full':true,'servers':[" + workerEntries(node, workerListener, "SERVING", WORKERS) + "]}");
         node.awaitCount("list updates", 3);
         for (int i = 0; i < WORKERS; i++) {
             clients.add(node.connect());
         }
-        node.rounds();
-        gate = afterReading(node, () -> {
+        node.awaitIoRounds();
+        gate = pauseAfterReading(node, () -> {
             for (Socket client : clients) {
-                say(client, job("w" + clients.indexOf(client)));
+                send(client, job("w" + clients.indexOf(client)));
             }
         });
         connectCount = connectCount();
--- a/node/src/test/java/hookweir/net/DescriptorShareTest.java
+++ b/node/src/test/java/hookweir/net/DescriptorShareTest.java
@@ -1,12 +1,12 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.CHUNKED;
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
+import static hookweir.net.TestNode.CHUNKED_HEAD;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.line;
 import static hookweir.net.TestNode.post;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
+import static hookweir.net.TestNode.sendListLine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -57,7 +57,7 @@
             Socket socket = connect(port);
             idleConnections.add(socket);
             if (i % 3 != 0) {
-                say(socket, HEALTHZ.substring(0, i % 3 == 1 ? HEALTHZ.length() : 20));
+                send(socket, HEALTHZ.substring(0, i % 3 == 1 ? HEALTHZ.length() : 20));
             }
         }
     }
@@ -72,12 +72,12 @@
         String whole = "{'version':9,'full':true,'servers':[" + servers + "]}";
         while (true) {
             Socket call = list.accept();
-            if (hear(call).contains("watch=1")) {
-                say(call, CHUNKED);
-                line(call, whole);
+            if (receive(call).contains("watch=1")) {
+                send(call, CHUNKED_HEAD);
+                sendListLine(call, whole);
                 return call;
             }
-            say(call, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole.replace('\'', '"'));
+            send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole.replace('\'', '"'));
         }
     }
 
@@ -86,8 +86,8 @@
         String response = "";
         while (response.isEmpty()) {
             try (Socket socket = connect(port)) {
-                say(socket, message);
-                response = hear(socket);
+                send(socket, message);
+                response = receive(socket);
             } catch (java.net.SocketException shut) {
                 response = "";
             }
@@ -145,14 +145,14 @@
                     String changes = entry("s-01", drainingWorker.getLocalPort(), "DRAINING") + "," + entry("s-02", worker.getLocalPort(), "SERVING");
                     try (Socket watch = acceptWatch(list, changes); Socket client = connect(port)) {
                         fill(port, IDLE_CLIENTS / 3);
-                        say(client, job("a1"));
+                        send(client, job("a1"));
                         try (Socket connection = worker.accept()) {
-                            assertTrue(hear(connection).contains("Req-Id: a1\r\n"));
-                            say(connection, TAKEN);
+                            assertTrue(receive(connection).contains("Req-Id: a1\r\n"));
+                            send(connection, ACCEPTED);
                             fill(port, IDLE_CLIENTS / 3);
                             String done = "{'id':'a1','from':'s-02','state':'done','result':'r'}".replace('\'', '"');
                             assertTrue(ask(port, post("/callback", "", done)).startsWith("HTTP/1.1 204"));
-                            assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                            assertTrue(receive(client).startsWith("HTTP/1.1 200"));
                         }
                         assertTrue(openDescriptors(process) < DESCRIPTORS);
                         assertFalse(watch.isClosed());
@@ -177,7 +177,7 @@
 
     private static String readFromNextConnection(ServerSocket listener) throws IOException {
         try (Socket socket = listener.accept()) {
-            return hear(socket);
+            return receive(socket);
         } catch (java.net.SocketTimeoutException none) {
             return "nobody";
         }
--- a/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
+++ b/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
@@ -1,14 +1,14 @@
 package hookweir.net;
 
-import static hookweir.net.HeldLoop.afterReading;
-import static hookweir.net.HeldLoop.many;
-import static hookweir.net.HeldLoop.second;
-import static hookweir.net.HeldLoop.sentTo;
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.PausedLoop.pauseAfterReading;
+import static hookweir.net.PausedLoop.receiveFromPending;
+import static hookweir.net.PausedLoop.secondWorkerEntry;
+import static hookweir.net.PausedLoop.workerEntries;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.line;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
+import static hookweir.net.TestNode.sendListLine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -52,26 +52,26 @@
     void jobIsNotSentWhenItsConnectionOpens(boolean cancels) throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                TestNode node = cancels ? TestNode.pushed() : TestNode.withoutCancels();
-                Socket watch = cancels ? node.watched() : node.watch) {
+                TestNode node = cancels ? TestNode.withPushedList() : TestNode.withoutCancellation();
+                Socket watch = cancels ? node.acceptListCallAndWatch() : node.watch) {
             long updates = node.node.invariants().counted("list updates");
-            line(watch, "{'version':8,'full':true,'servers':[" + many(node, listener, "SERVING", 9) + "]}");
+            sendListLine(watch, "{'version':8,'full':true,'servers':[" + workerEntries(node, listener, "SERVING", 9) + "]}");
             node.awaitCount("list updates", updates + 1);
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(node.connect());
             }
-            node.settle();
-            CountDownLatch gate = afterReading(node, () -> {
+            node.awaitLoop();
+            CountDownLatch gate = pauseAfterReading(node, () -> {
                 for (Socket client : clients) {
-                    say(client, job("u" + clients.indexOf(client)));
+                    send(client, job("u" + clients.indexOf(client)));
                 }
             });
             assertEquals(CLIENTS, node.node.invariants().counted("egress dials"));
             close(clients);
             gate.countDown();
             node.awaitCount("clients gone", CLIENTS);
-            node.rounds();
-            assertEquals("", sentTo(listener, node));
+            node.awaitIoRounds();
+            assertEquals("", receiveFromPending(listener, node));
         }
     }
 
@@ -79,28 +79,28 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void jobWaitingForReuseDelayIsNotSent(boolean disconnectRead) throws Exception {
-        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
-            node.freeze();
-            say(client, job("s1"));
-            try (Socket idleConnection = node.worker.accept()) {
-                hear(idleConnection);
-                say(idleConnection, TAKEN);
-                node.tell("s1", "s-01", "done");
-                hear(client);
-                say(leaving, job("s2"));
+        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect(); Socket leaving = node.connect()) {
+            node.freezeClock();
+            send(client, job("s1"));
+            try (Socket idleConnection = node.workerListener.accept()) {
+                receive(idleConnection);
+                send(idleConnection, ACCEPTED);
+                node.sendCallback("s1", "s-01", "done");
+                receive(client);
+                send(leaving, job("s2"));
                 node.awaitCount("requests", 2);
-                node.rounds();
-                CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.deaf();
+                node.awaitIoRounds();
+                CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.blockLoop();
                 disconnect(leaving);
                 if (disconnectRead) {
                     node.awaitCount("clients gone", 1);
                 }
-                node.goOn(200_000);
+                node.resumeClock(200_000);
                 gate.countDown();
                 node.awaitCount("clients gone", 1);
-                node.rounds();
+                node.awaitIoRounds();
                 assertEquals(1, node.node.invariants().counted("egress dials"));
-                assertEquals("", HeldLoop.sentOn(idleConnection, node));
+                assertEquals("", PausedLoop.receiveUntilClosed(idleConnection, node));
             }
             assertFalse(watch.isClosed());
         }
@@ -110,39 +110,39 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void declinedJobIsNotRetried(boolean disconnectRead) throws Exception {
-        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode node = TestNode.pushed();
-                Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
-            line(watch, "{'version':8,'full':true,'servers':[" + second(node, listener, "SERVING") + "]}");
+        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode node = TestNode.withPushedList();
+                Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect(); Socket leaving = node.connect()) {
+            sendListLine(watch, "{'version':8,'full':true,'servers':[" + secondWorkerEntry(node, listener, "SERVING") + "]}");
             node.awaitCount("list updates", 2);
-            say(client, job("r1"));
+            send(client, job("r1"));
             try (Socket idleConnection = listener.accept()) {
-                hear(idleConnection);
-                say(idleConnection, TAKEN);
-                node.tell("r1", "s-02", "done");
-                hear(client);
-                node.goOn(100_000); // past the reuse delay of the idle connection: a job could be sent at once
-                line(watch, "{'version':9,'full':false,'servers':[" + second(node, listener, "DRAINING") + "," + node.entry("SERVING") + "]}");
+                receive(idleConnection);
+                send(idleConnection, ACCEPTED);
+                node.sendCallback("r1", "s-02", "done");
+                receive(client);
+                node.resumeClock(100_000); // past the reuse delay of the idle connection: a job could be sent at once
+                sendListLine(watch, "{'version':9,'full':false,'servers':[" + secondWorkerEntry(node, listener, "DRAINING") + "," + node.workerEntry("SERVING") + "]}");
                 node.awaitCount("list updates", 3);
-                say(leaving, job("r2"));
-                try (Socket first = node.worker.accept()) {
-                    hear(first);
-                    node.freeze();
-                    say(first, DECLINED);
+                send(leaving, job("r2"));
+                try (Socket first = node.workerListener.accept()) {
+                    receive(first);
+                    node.freezeClock();
+                    send(first, DECLINED);
                     node.awaitCount("attempts FULL", 1);
-                    node.rounds();
-                    line(watch, "{'version':10,'full':false,'servers':[" + second(node, listener, "SERVING") + "]}");
+                    node.awaitIoRounds();
+                    sendListLine(watch, "{'version':10,'full':false,'servers':[" + secondWorkerEntry(node, listener, "SERVING") + "]}");
                     node.awaitCount("list updates", 4);
-                    node.rounds();
-                    CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.deaf();
+                    node.awaitIoRounds();
+                    CountDownLatch gate = disconnectRead ? new CountDownLatch(1) : node.blockLoop();
                     disconnect(leaving);
                     if (disconnectRead) {
                         node.awaitCount("clients gone", 1);
                     }
-                    node.goOn(400_000);
+                    node.resumeClock(400_000);
                     gate.countDown();
                     node.awaitCount("clients gone", 1);
-                    node.rounds();
-                    assertEquals("", HeldLoop.sentOn(idleConnection, node));
+                    node.awaitIoRounds();
+                    assertEquals("", PausedLoop.receiveUntilClosed(idleConnection, node));
                 }
             }
         }
@@ -155,38 +155,38 @@
             connections.closeClients();
             connections.gate.countDown();
             connections.node.awaitCount("clients gone", CrowdedConnections.WORKERS);
-            connections.node.rounds();
+            connections.node.awaitIoRounds();
             assertEquals(connections.connectCount, connections.connectCount());
-            assertEquals("", sentTo(connections.workerListener, connections.node));
+            assertEquals("", receiveFromPending(connections.workerListener, connections.node));
         }
     }
 
     /** The client's job waits as no worker serves; its disconnect is still unread when the next try is due and an idle connection is free. */
     @Test
     void jobWaitingForAWorkerIsNotSent() throws Exception {
-        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect(); Socket leaving = node.connect()) {
-            say(client, job("h1"));
-            try (Socket idleConnection = node.worker.accept()) {
-                hear(idleConnection);
-                say(idleConnection, TAKEN);
-                node.tell("h1", "s-01", "done");
-                hear(client);
-                node.goOn(100_000); // past the reuse delay of the idle connection: a job could be sent at once
-                line(watch, "{'version':8,'full':false,'servers':[" + node.entry("DRAINING") + "]}");
+        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect(); Socket leaving = node.connect()) {
+            send(client, job("h1"));
+            try (Socket idleConnection = node.workerListener.accept()) {
+                receive(idleConnection);
+                send(idleConnection, ACCEPTED);
+                node.sendCallback("h1", "s-01", "done");
+                receive(client);
+                node.resumeClock(100_000); // past the reuse delay of the idle connection: a job could be sent at once
+                sendListLine(watch, "{'version':8,'full':false,'servers':[" + node.workerEntry("DRAINING") + "]}");
                 node.awaitCount("list updates", 2);
-                node.freeze();
-                say(leaving, job("h2"));
+                node.freezeClock();
+                send(leaving, job("h2"));
                 node.awaitCount("requests", 2);
-                line(watch, "{'version':9,'full':false,'servers':[" + node.entry("SERVING") + "]}");
+                sendListLine(watch, "{'version':9,'full':false,'servers':[" + node.workerEntry("SERVING") + "]}");
                 node.awaitCount("list updates", 3);
-                node.rounds();
-                CountDownLatch gate = node.deaf();
+                node.awaitIoRounds();
+                CountDownLatch gate = node.blockLoop();
                 disconnect(leaving);
-                node.goOn(400_000);
+                node.resumeClock(400_000);
                 gate.countDown();
                 node.awaitCount("clients gone", 1);
-                node.rounds();
-                assertEquals("", HeldLoop.sentOn(idleConnection, node));
+                node.awaitIoRounds();
+                assertEquals("", PausedLoop.receiveUntilClosed(idleConnection, node));
             }
         }
     }
--- a/node/src/test/java/hookweir/net/FailuresTest.java
+++ b/node/src/test/java/hookweir/net/FailuresTest.java
@@ -1,10 +1,10 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
 import static hookweir.net.TestNode.post;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -29,12 +29,12 @@
     @Test
     void apiPathWithoutKeyIsServed() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, job("a1"));
-            try (Socket worker = node.worker.accept()) {
-                assertTrue(hear(worker).startsWith("POST /api HTTP/1.1\r\n"));
-                say(worker, TAKEN);
-                assertTrue(node.tell("a1", "s-01", "done").startsWith("HTTP/1.1 204"));
-                String response = hear(client);
+            send(client, job("a1"));
+            try (Socket worker = node.workerListener.accept()) {
+                assertTrue(receive(worker).startsWith("POST /api HTTP/1.1\r\n"));
+                send(worker, ACCEPTED);
+                assertTrue(node.sendCallback("a1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                String response = receive(client);
                 assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("\r\n\r\nr\u00e9s"), response);
             }
         }
@@ -44,14 +44,14 @@
     @Test
     void earlyAndRepeatedCallbacksAreHandled() throws Exception {
         try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
-            say(client, job("a2"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                assertTrue(node.tell("a2", "s-02", "failed").startsWith("HTTP/1.1 204"));
-                assertTrue(node.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(node.tell("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                say(worker, TAKEN);
+            send(client, job("a2"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                assertTrue(node.sendCallback("a2", "s-02", "failed").startsWith("HTTP/1.1 204"));
+                assertTrue(node.sendCallback("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(node.sendCallback("a2", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
+                send(worker, ACCEPTED);
                 assertEquals(1, node.node.invariants().counted("attempts OK"));
                 node.awaitCount("call-backs for nothing", 2); // counted after the response is sent
             }
@@ -62,11 +62,11 @@
     @Test
     void resetFailsNonIdempotentJob() throws Exception {
         try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
-            say(client, job("a3"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
+            send(client, job("a3"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
             }
-            assertTrue(hear(client).startsWith("HTTP/1.1 500"));
+            assertTrue(receive(client).startsWith("HTTP/1.1 500"));
             assertEquals(1, node.node.invariants().counted("attempts RESET"));
         }
     }
@@ -75,13 +75,13 @@
     @Test
     void invalidRequestsGetErrorResponses() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
-            assertTrue(node.ask(post("/api", "Req-Id: b1\r\nReq-Kind: unheard-of\r\n", "")).startsWith("HTTP/1.1 400"));
-            assertTrue(node.ask(post("/api", "Req-Kind: render\r\n", "")).startsWith("HTTP/1.1 400"));
-            assertTrue(node.ask(post("/elsewhere", "", "")).startsWith("HTTP/1.1 404"));
-            assertTrue(node.ask(post("/callback", "", "no json")).startsWith("HTTP/1.1 400"));
-            assertTrue(node.ask("what is this\r\n\r\n").startsWith("HTTP/1.1 "));
-            assertTrue(node.ask(post("/api", "Req-Id: b2\r\nReq-Kind: render\r\n", "x".repeat(65_537))).startsWith("HTTP/1.1 413"));
-            assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
+            assertTrue(node.request(post("/api", "Req-Id: b1\r\nReq-Kind: unheard-of\r\n", "")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.request(post("/api", "Req-Kind: render\r\n", "")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.request(post("/elsewhere", "", "")).startsWith("HTTP/1.1 404"));
+            assertTrue(node.request(post("/callback", "", "no json")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.request("what is this\r\n\r\n").startsWith("HTTP/1.1 "));
+            assertTrue(node.request(post("/api", "Req-Id: b2\r\nReq-Kind: render\r\n", "x".repeat(65_537))).startsWith("HTTP/1.1 413"));
+            assertTrue(node.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
         }
     }
 
@@ -89,12 +89,12 @@
     @Test
     void jobPastDeadlineIsAbandoned() throws Exception {
         try (TestNode node = new TestNode("non_idempotent", 3_000_000); Socket client = node.connect()) {
-            say(client, post("/api", "Req-Id: a4\r\nReq-Kind: render\r\nReq-Deadline-Ms: 3000\r\n", "work"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
-                assertTrue(hear(client).startsWith("HTTP/1.1 500"));
-                assertTrue(hear(worker).startsWith("DELETE /jobs/a4 HTTP/1.1\r\n"));
+            send(client, post("/api", "Req-Id: a4\r\nReq-Kind: render\r\nReq-Deadline-Ms: 3000\r\n", "work"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
+                assertTrue(receive(client).startsWith("HTTP/1.1 500"));
+                assertTrue(receive(worker).startsWith("DELETE /jobs/a4 HTTP/1.1\r\n"));
             }
         }
     }
@@ -103,17 +103,17 @@
     @Test
     void drainCompletesPendingJobs() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, job("a5"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
+            send(client, job("a5"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
                 node.node.drain();
-                assertTrue(node.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 503"));
-                assertTrue(node.tell("a5", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                assertTrue(node.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 503"));
+                assertTrue(node.sendCallback("a5", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
                 assertEquals(-1, client.getInputStream().read());
-                node.loop.join(20_000);
-                assertFalse(node.loop.isAlive());
+                node.loopThread.join(20_000);
+                assertFalse(node.loopThread.isAlive());
             }
         }
     }
@@ -121,19 +121,19 @@
     /** A failed list call is repeated; the lines of a watch may be split anywhere, and invalid ones are counted. */
     @Test
     void failedWatchIsRestarted() throws Exception {
-        try (TestNode node = TestNode.unconfirmed("read_like")) {
-            try (Socket listService = node.list.accept()) {
-                assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\n"));
-                say(listService, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        try (TestNode node = TestNode.withUnconfirmedList("read_like")) {
+            try (Socket listService = node.listService.accept()) {
+                assertTrue(receive(listService).startsWith("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\n"));
+                send(listService, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             }
-            try (Socket listService = node.list.accept()) {
-                hear(listService);
-                String line = ("{'version':9,'full':true,'servers':[" + node.entry("SERVING") + "]}\n").replace('\'', '"');
-                say(listService, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n4\r\nbad\n\r\n");
-                say(listService, "5\r\n" + line.substring(0, 5) + "\r\n" + Integer.toHexString(line.length() - 5) + "\r\n" + line.substring(5) + "\r\n");
+            try (Socket listService = node.listService.accept()) {
+                receive(listService);
+                String line = ("{'version':9,'full':true,'servers':[" + node.workerEntry("SERVING") + "]}\n").replace('\'', '"');
+                send(listService, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n4\r\nbad\n\r\n");
+                send(listService, "5\r\n" + line.substring(0, 5) + "\r\n" + Integer.toHexString(line.length() - 5) + "\r\n" + line.substring(5) + "\r\n");
             }
-            try (Socket listService = node.list.accept()) {
-                assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=9 HTTP/1.1\r\n"));
+            try (Socket listService = node.listService.accept()) {
+                assertTrue(receive(listService).startsWith("GET /v1/servers?watch=1&after=9 HTTP/1.1\r\n"));
                 assertEquals(1, node.node.invariants().counted("discovery bad line"));
             }
         }
@@ -144,10 +144,10 @@
     void buffersAreReused() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             for (int i = 0; i < 100; i++) {
-                say(client, post("/callback", "", "{\"id\":\"x\",\"from\":\"y\",\"state\":\"done\"}"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 204"));
-                say(client, post("/api", "Req-Id: b1\r\n", "work"));
-                assertTrue(hear(client).endsWith("Req-Kind is missing or unknown")); // a response with a body
+                send(client, post("/callback", "", "{\"id\":\"x\",\"from\":\"y\",\"state\":\"done\"}"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 204"));
+                send(client, post("/api", "Req-Id: b1\r\n", "work"));
+                assertTrue(receive(client).endsWith("Req-Kind is missing or unknown")); // a response with a body
             }
             try (Socket worker = serveOnce(node, client, null, 0)) {
                 for (int i = 1; i < 15; i++) {
@@ -159,12 +159,12 @@
     }
 
     private static Socket serveOnce(TestNode node, Socket client, Socket reused, int i) throws Exception {
-        say(client, job("e" + i));
-        Socket worker = reused == null ? node.worker.accept() : reused;
-        hear(worker);
-        say(worker, TAKEN);
-        node.tell("e" + i, "s-01", "done");
-        assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+        send(client, job("e" + i));
+        Socket worker = reused == null ? node.workerListener.accept() : reused;
+        receive(worker);
+        send(worker, ACCEPTED);
+        node.sendCallback("e" + i, "s-01", "done");
+        assertTrue(receive(client).startsWith("HTTP/1.1 200"));
         return worker;
     }
 
@@ -175,21 +175,21 @@
         try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect(); Socket listService = node.watch) {
             List<Socket> fillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) { // fill the worker's backlog of one, so that the next connect waits
-                fillers.add(new Socket(node.worker.getInetAddress(), node.worker.getLocalPort()));
+                fillers.add(new Socket(node.workerListener.getInetAddress(), node.workerListener.getLocalPort()));
             }
-            say(client, job("a6"));
+            send(client, job("a6"));
             node.awaitCount("egress dials", 1);
-            String line = ("{'version':8,'full':false,'servers':[" + node.entry("DRAINING") + "]}\n").replace('\'', '"');
-            say(listService, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+            String line = ("{'version':8,'full':false,'servers':[" + node.workerEntry("DRAINING") + "]}\n").replace('\'', '"');
+            send(listService, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
             node.awaitCount("list updates", 3);
             for (Socket filler : fillers) {
-                node.worker.accept().close();
+                node.workerListener.accept().close();
                 filler.close();
             }
             node.awaitCount("attempts CONNECT_FAILED", 1);
-            try (Socket worker = node.worker.accept()) {
+            try (Socket worker = node.workerListener.accept()) {
                 node.node.stop();
-                assertEquals("", hear(worker));
+                assertEquals("", receive(worker));
             }
         }
     }
@@ -198,10 +198,10 @@
     @Test
     void expectContinueIsAnswered() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, "POST /callback HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-            assertTrue(hear(client).startsWith("HTTP/1.1 100"));
-            say(client, "{}");
-            assertTrue(hear(client).startsWith("HTTP/1.1 400"));
+            send(client, "POST /callback HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+            assertTrue(receive(client).startsWith("HTTP/1.1 100"));
+            send(client, "{}");
+            assertTrue(receive(client).startsWith("HTTP/1.1 400"));
         }
     }
 
@@ -210,10 +210,10 @@
     void smuggledRequestIsNotForwarded() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             String hidden = job("h2");
-            say(client, "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: h1\r\nReq-Kind: render\r\nTransfer-Encoding: chunked\r\nContent-Length: "
+            send(client, "POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: h1\r\nReq-Kind: render\r\nTransfer-Encoding: chunked\r\nContent-Length: "
                 + (5 + hidden.length()) + "\r\n\r\n0\r\n\r\n" + hidden);
-            assertTrue(hear(client).startsWith("HTTP/1.1 400"));
-            assertEquals("", hear(client));
+            assertTrue(receive(client).startsWith("HTTP/1.1 400"));
+            assertEquals("", receive(client));
             assertEquals(0, node.node.invariants().counted("requests"));
         }
     }
@@ -222,13 +222,13 @@
     @Test
     void acceptedRequestIsAnsweredBeforeTheError() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, job("h3") + "\u0001");
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
-                node.tell("h3", "s-01", "done");
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                assertTrue(hear(client).startsWith("HTTP/1.1 400"));
+            send(client, job("h3") + "\u0001");
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
+                node.sendCallback("h3", "s-01", "done");
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 400"));
                 assertEquals(-1, client.getInputStream().read());
             }
         }
@@ -238,9 +238,9 @@
     @Test
     void silentAndSlowClientsAreDisconnected() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket silent = node.connect(); Socket slow = node.connect()) {
-            say(slow, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf");
+            send(slow, "POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf");
             assertEquals(-1, silent.getInputStream().read());
-            assertTrue(hear(slow).startsWith("HTTP/1.1 408"));
+            assertTrue(receive(slow).startsWith("HTTP/1.1 408"));
         }
     }
 
@@ -254,16 +254,16 @@
             }
             try (Socket sendingClient = node.connect()) {
                 String job = job("l1");
-                say(sendingClient, job.substring(0, job.length() / 2));
+                send(sendingClient, job.substring(0, job.length() / 2));
                 for (int i = 0; i < 60; i++) { // more than the connection limit
                     requestAndKeepOpen(node, idleClients);
                 }
-                say(sendingClient, job.substring(job.length() / 2));
-                try (Socket worker = node.worker.accept()) {
-                    hear(worker);
-                    say(worker, TAKEN);
-                    node.tell("l1", "s-01", "done");
-                    assertTrue(hear(sendingClient).startsWith("HTTP/1.1 200"));
+                send(sendingClient, job.substring(job.length() / 2));
+                try (Socket worker = node.workerListener.accept()) {
+                    receive(worker);
+                    send(worker, ACCEPTED);
+                    node.sendCallback("l1", "s-01", "done");
+                    assertTrue(receive(sendingClient).startsWith("HTTP/1.1 200"));
                 }
             }
         } finally {
@@ -276,17 +276,17 @@
     private static void requestAndKeepOpen(TestNode node, List<Socket> idleClients) throws IOException {
         Socket client = node.connect();
         idleClients.add(client);
-        say(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-        assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+        send(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+        assertTrue(receive(client).startsWith("HTTP/1.1 200"));
     }
 
     /** Hundreds of requests pipelined on one connection: once the connection was closed and the response being written was lost. */
     @Test
     void manyPipelinedRequestsAreAnswered() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n".repeat(400));
+            send(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n".repeat(400));
             for (int i = 0; i < 400; i++) {
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
@@ -296,7 +296,7 @@
     void malformedDeadlinesAreRejected() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
             for (String odd : List.of("1e3", "-5", "0x10", "12.5", "soon", "1d", "99999999999")) {
-                assertTrue(node.ask(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
+                assertTrue(node.request(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
             }
         }
     }
@@ -325,13 +325,13 @@
                 Files.writeString(file, node.config("127.0.0.1:" + next.getLocalPort()));
                 node.node.reload(env);
                 Files.delete(file);
-                String list = ("{'version':3,'full':true,'servers':[" + node.entry("DRAINING") + "]}").replace('\'', '"');
+                String list = ("{'version':3,'full':true,'servers':[" + node.workerEntry("DRAINING") + "]}").replace('\'', '"');
                 try (Socket listService = next.accept()) {
-                    assertTrue(hear(listService).startsWith("GET /v1/servers HTTP/1.1\r\n")); // the new service may count versions differently
-                    say(listService, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                    assertTrue(receive(listService).startsWith("GET /v1/servers HTTP/1.1\r\n")); // the new service may count versions differently
+                    send(listService, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 }
                 try (Socket listService = next.accept()) {
-                    assertTrue(hear(listService).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
+                    assertTrue(receive(listService).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
                 }
                 assertEquals(-1, old.getInputStream().read());
                 assertEquals(3, node.node.invariants().counted("list updates"));
@@ -345,27 +345,27 @@
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             Path file = Files.createTempFile("hookweir", ".json");
             Map<String, String> env = Map.of("RELAY_CONFIG", file.toString());
-            String config = node.config("127.0.0.1:" + node.list.getLocalPort());
-            say(client, job("r1"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
+            String config = node.config("127.0.0.1:" + node.listService.getLocalPort());
+            send(client, job("r1"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
                 Files.writeString(file, config.replace("\"render\"", "\"paint\"").replace("\"max_attempts\":3,", ""));
                 node.node.reload(env);
-                assertTrue(node.ask(job("r2").replace("render", "paint")).startsWith("HTTP/1.1 400"));
+                assertTrue(node.request(job("r2").replace("render", "paint")).startsWith("HTTP/1.1 400"));
                 Files.writeString(file, config.replace("\"render\"", "\"paint\"").replace("read_like", "non_idempotent"));
                 node.node.reload(env);
                 Files.delete(file);
                 node.awaitCount("reloads", 1);
-                assertTrue(node.ask(job("r3")).startsWith("HTTP/1.1 400"));
-                node.tell("r1", "s-01", "failed");
-                assertTrue(hear(client).startsWith("HTTP/1.1 429")); // its class may still be retried
-                say(client, job("r4").replace("render", "paint"));
-                hear(worker);
-                say(worker, TAKEN);
-                node.tell("r4", "s-01", "failed");
-                assertTrue(hear(client).startsWith("HTTP/1.1 500")); // the new class may not be retried
-                String stats = node.call("GET", "stats");
+                assertTrue(node.request(job("r3")).startsWith("HTTP/1.1 400"));
+                node.sendCallback("r1", "s-01", "failed");
+                assertTrue(receive(client).startsWith("HTTP/1.1 429")); // its class may still be retried
+                send(client, job("r4").replace("render", "paint"));
+                receive(worker);
+                send(worker, ACCEPTED);
+                node.sendCallback("r4", "s-01", "failed");
+                assertTrue(receive(client).startsWith("HTTP/1.1 500")); // the new class may not be retried
+                String stats = node.adminCall("GET", "stats");
                 assertTrue(stats.contains("svc_reload_success_total 1\n") && stats.contains("svc_reload_failure_total 1\n"), stats);
                 assertTrue(stats.contains("svc_overload_total{type=\"render\"} 1\n") && stats.contains("svc_error_total{type=\"paint\"} 1\n"), stats);
             }
@@ -376,14 +376,14 @@
     @Test
     void duplicateIdIsRejected() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
-            say(client, job("g1"));
-            try (Socket worker = node.worker.accept()) {
-                hear(worker);
-                say(worker, TAKEN);
-                assertTrue(node.ask(job("g1")).startsWith("HTTP/1.1 409"));
-                node.tell("g1", "s-01", "done");
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
-                assertTrue(node.ask(job("g1")).startsWith("HTTP/1.1 409"));
+            send(client, job("g1"));
+            try (Socket worker = node.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
+                assertTrue(node.request(job("g1")).startsWith("HTTP/1.1 409"));
+                node.sendCallback("g1", "s-01", "done");
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
+                assertTrue(node.request(job("g1")).startsWith("HTTP/1.1 409"));
             }
         }
     }
@@ -393,11 +393,11 @@
     void repeatedBadRequestIsDelayed() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             for (int i = 0; i < 6; i++) {
-                say(client, post("/api", "Req-Id: i1\r\nReq-Kind: none\r\n", ""));
-                assertTrue(hear(client).startsWith("HTTP/1.1 400"));
+                send(client, post("/api", "Req-Id: i1\r\nReq-Kind: none\r\n", ""));
+                assertTrue(receive(client).startsWith("HTTP/1.1 400"));
             }
             assertTrue(node.node.invariants().counted("ingress held back") >= 2);
-            assertTrue(node.ask(job("i2").replace("render", "none")).startsWith("HTTP/1.1 400"));
+            assertTrue(node.request(job("i2").replace("render", "none")).startsWith("HTTP/1.1 400"));
         }
     }
 
@@ -406,10 +406,10 @@
     void nonIdempotentJobsAvoidUnreliableReusedConnections() throws Exception {
         try (TestNode node = new TestNode("non_idempotent"); Socket client = node.connect()) {
             try (Socket worker = serveOnce(node, client, null, 0)) {
-                say(client, job("k1"));
-                hear(worker);
+                send(client, job("k1"));
+                receive(worker);
             }
-            assertTrue(hear(client).startsWith("HTTP/1.1 500"));
+            assertTrue(receive(client).startsWith("HTTP/1.1 500"));
             try (Socket first = serveOnce(node, client, null, 2); Socket second = serveOnce(node, client, null, 3)) {
                 assertTrue(first.isConnected() && second.isConnected());
             }
@@ -423,17 +423,17 @@
             Thread workerThread = new Thread(() -> {
                 try {
                     while (true) {
-                        Socket worker = node.worker.accept();
+                        Socket worker = node.workerListener.accept();
                         new Thread(() -> serveOneProbe(node, worker)).start();
                     }
                 } catch (IOException e) {
-                    assertTrue(node.worker.isClosed());
+                    assertTrue(node.workerListener.isClosed());
                 }
             });
             workerThread.start();
             for (int i = 0; node.node.invariants().counted("errands once more") == 0; i++) {
-                say(client, job("p" + i));
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                send(client, job("p" + i));
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
             assertEquals(0, node.node.invariants().counted("attempts RESET"));
         }
@@ -442,13 +442,13 @@
     private static void serveOneProbe(TestNode node, Socket worker) {
         try (worker) {
             int probes = 0;
-            for (String call = hear(worker); !call.isEmpty(); call = hear(worker)) {
+            for (String call = receive(worker); !call.isEmpty(); call = receive(worker)) {
                 if (call.startsWith("POST")) {
-                    say(worker, TAKEN);
+                    send(worker, ACCEPTED);
                     int idAt = call.indexOf("Req-Id: ") + 8;
-                    node.tell(call.substring(idAt, call.indexOf('\r', idAt)), "s-01", "done");
+                    node.sendCallback(call.substring(idAt, call.indexOf('\r', idAt)), "s-01", "done");
                 } else if (probes++ == 0) {
-                    say(worker, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
+                    send(worker, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
                 } else {
                     return;
                 }
--- a/node/src/test/java/hookweir/net/FleetSizeTest.java
+++ b/node/src/test/java/hookweir/net/FleetSizeTest.java
@@ -1,11 +1,11 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.line;
 import static hookweir.net.TestNode.post;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
+import static hookweir.net.TestNode.sendListLine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -51,12 +51,12 @@
         node.awaitCount("list updates", 1);
         AutoWorker worker = new AutoWorker(node, true);
         for (int i = 0; i < 5; i++) {
-            say(client, job("w" + i));
-            assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+            send(client, job("w" + i));
+            assertTrue(receive(client).startsWith("HTTP/1.1 200"));
         }
         assertEquals(5, worker.jobs.get());
         assertEquals(0, node.node.invariants().counted("discovery bad line") + node.node.invariants().counted("discovery line too long"));
-        while (!node.call("GET", "stats").contains(" " + count + "\n")) { // the statistics are updated periodically
+        while (!node.adminCall("GET", "stats").contains(" " + count + "\n")) { // the statistics are updated periodically
             Thread.sleep(20);
         }
     }
@@ -65,8 +65,8 @@
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
     void largeListLineIsApplied(int count) throws Exception {
-        try (TestNode node = TestNode.pushed(); Socket watch = node.watched(); Socket client = node.connect()) {
-            line(watch, "{'version':8,'full':true,'servers':[" + node.entry("SERVING") + draining(count - 1) + "]}");
+        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect()) {
+            sendListLine(watch, "{'version':8,'full':true,'servers':[" + node.workerEntry("SERVING") + draining(count - 1) + "]}");
             node.awaitCount("list updates", 2);
             assertServes(node, client, count);
         }
@@ -76,11 +76,11 @@
     @ParameterizedTest
     @ValueSource(ints = {1100, 4096})
     void largeWholeListIsApplied(int count) throws Exception {
-        try (TestNode node = TestNode.pushed(); Socket call = node.list.accept(); Socket client = node.connect()) {
-            hear(call);
-            String whole = "{'version':8,'full':true,'servers':[" + node.entry("SERVING") + draining(count - 1) + "]}";
-            say(call, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole.replace('\'', '"'));
-            try (Socket watch = node.watchedFrom(8)) {
+        try (TestNode node = TestNode.withPushedList(); Socket call = node.listService.accept(); Socket client = node.connect()) {
+            receive(call);
+            String whole = "{'version':8,'full':true,'servers':[" + node.workerEntry("SERVING") + draining(count - 1) + "]}";
+            send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole.replace('\'', '"'));
+            try (Socket watch = node.acceptWatch(8)) {
                 assertServes(node, client, count);
                 assertTrue(watch.isConnected());
             }
@@ -154,16 +154,16 @@
     void simultaneousCallbacksWaitInTheBacklog() throws Exception {
         List<Socket> workers = new ArrayList<>();
         try (TestNode node = new TestNode("read_like", 20_000_000, "'sockets':2048")) {
-            node.settle();
-            CountDownLatch gate = node.deaf();
+            node.awaitLoop();
+            CountDownLatch gate = node.blockLoop();
             for (int i = 0; i < WORKERS; i++) {
                 Socket worker = node.connect();
                 workers.add(worker);
-                say(worker, post("/callback", "", "{'id':'none','from':'s-01','state':'done'}".replace('\'', '"')));
+                send(worker, post("/callback", "", "{'id':'none','from':'s-01','state':'done'}".replace('\'', '"')));
             }
             gate.countDown();
             for (Socket worker : workers) {
-                assertTrue(hear(worker).startsWith("HTTP/1.1 204"));
+                assertTrue(receive(worker).startsWith("HTTP/1.1 204"));
             }
         } finally {
             for (Socket worker : workers) {
@@ -177,19 +177,19 @@
     void callbackConnectionsOverTheDescriptorLimitAreServed() throws Exception {
         List<Socket> workers = new ArrayList<>();
         try (TestNode node = new TestNode("read_like", 20_000_000, "'sockets':1024"); Socket client = node.connect()) {
-            say(client, job("c1"));
-            try (Socket connection = node.worker.accept()) {
-                hear(connection);
-                say(connection, TAKEN);
+            send(client, job("c1"));
+            try (Socket connection = node.workerListener.accept()) {
+                receive(connection);
+                send(connection, ACCEPTED);
                 String running = "{'id':'c1','from':'s-01','state':'running','share':0.5}".replace('\'', '"');
                 for (int i = 0; i < WORKERS; i++) {
                     Socket worker = node.connect();
                     workers.add(worker);
-                    say(worker, post("/callback", "", running));
-                    assertTrue(hear(worker).startsWith("HTTP/1.1 204"), "worker " + i);
+                    send(worker, post("/callback", "", running));
+                    assertTrue(receive(worker).startsWith("HTTP/1.1 204"), "worker " + i);
                 }
-                node.tell("c1", "s-01", "done");
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                node.sendCallback("c1", "s-01", "done");
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
         } finally {
             for (Socket worker : workers) {
--- a/node/src/test/java/hookweir/net/ListLeaseTest.java
+++ b/node/src/test/java/hookweir/net/ListLeaseTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.hear;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.line;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
+import static hookweir.net.TestNode.sendListLine;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,35 +22,35 @@
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
     private static final String BUSY = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     /** The list service's own limit on a call that waits in its queue. */
-    private static final long QUEUED_US = 1_000_000;
+    private static final long QUEUE_TIMEOUT_US = 1_000_000;
     private static final long STEP_US = 20_000;
-    private static final long COUNTS_AS_TOLD_US = 6_000_000;
+    private static final long NOTIFIED_AFTER_US = 6_000_000;
 
-    private static void letPass(TestNode n, long us) throws Exception {
+    private static void advanceInSteps(TestNode n, long us) throws Exception {
         for (long passed = 0; passed < us; passed += STEP_US) {
-            n.step(STEP_US);
-            n.rounds();
+            n.advanceFrozenClock(STEP_US);
+            n.awaitIoRounds();
         }
     }
 
     /** Lets time pass until the next call, which waits in the queue and is told that the service is busy. */
-    private static long refuseNextCall(TestNode n, int failed) throws Exception {
+    private static long rejectNextListCall(TestNode n, int failed) throws Exception {
         long passed = 0;
-        long calls = failedCalls(n);
+        long calls = failedListCalls(n);
         while (n.node.invariants().counted("discovery calls") <= calls) {
-            letPass(n, STEP_US);
+            advanceInSteps(n, STEP_US);
             passed += STEP_US;
         }
-        try (Socket call = n.list.accept()) {
-            hear(call);
-            letPass(n, QUEUED_US);
-            say(call, BUSY);
+        try (Socket call = n.listService.accept()) {
+            receive(call);
+            advanceInSteps(n, QUEUE_TIMEOUT_US);
+            send(call, BUSY);
             n.awaitCount("list calls failed UNANSWERED", failed);
         }
-        return passed + QUEUED_US;
+        return passed + QUEUE_TIMEOUT_US;
     }
 
-    private static long failedCalls(TestNode n) {
+    private static long failedListCalls(TestNode n) {
         long failed = 0;
         for (ListCallFailure f : ListCallFailure.values()) {
             failed += n.node.invariants().counted("list calls failed " + f);
@@ -58,80 +58,80 @@
         return failed;
     }
 
-    private static String shortJob(String id) {
+    private static String shortDeadlineJob(String id) {
         return job(id).replace("20000", "300");
     }
 
-    private static void assertRefused(TestNode n, String id) throws Exception {
+    private static void assertRejected(TestNode n, String id) throws Exception {
         long dials = n.node.invariants().counted("egress dials");
         try (Socket client = n.connect()) {
-            say(client, shortJob(id));
+            send(client, shortDeadlineJob(id));
             long taken = n.node.invariants().counted("requests");
-            n.rounds();
-            letPass(n, 400_000);
-            assertTrue(hear(client).startsWith("HTTP/1.1 429"), "asked when " + taken + " had been taken");
+            n.awaitIoRounds();
+            advanceInSteps(n, 400_000);
+            assertTrue(receive(client).startsWith("HTTP/1.1 429"), "asked when " + taken + " had been taken");
         }
         assertEquals(dials, n.node.invariants().counted("egress dials"));
     }
 
     /** As incident 1 had it: the process starts, and the list service is reached but too busy to answer. */
     @Test
-    void aStartSendsNothingByTheListAsLastHeldWhileTheListServiceIsBusy() throws Exception {
-        try (TestNode n = TestNode.unconfirmed("read_like")) {
-            n.freeze();
+    void startWithBusyListServiceSendsNoJobs() throws Exception {
+        try (TestNode n = TestNode.withUnconfirmedList("read_like")) {
+            n.freezeClock();
             int failed = 0;
-            for (long passed = 0; passed < COUNTS_AS_TOLD_US; ) {
-                passed += refuseNextCall(n, ++failed);
+            for (long passed = 0; passed < NOTIFIED_AFTER_US; ) {
+                passed += rejectNextListCall(n, ++failed);
             }
-            assertTrue(n.ask(HEALTHZ).startsWith("HTTP/1.1 200"), "it takes clients all the same");
-            assertRefused(n, "a1");
-            confirm(n);
+            assertTrue(n.request(HEALTHZ).startsWith("HTTP/1.1 200"), "it takes clients all the same");
+            assertRejected(n, "a1");
+            confirmList(n);
             assertServed(n, "a2");
         }
     }
 
     /** A process that had the list loses its watch, and the list service is too busy to open it anew. */
     @Test
-    void aSchedulerThatLostItsWatchSendsNothingOnceNewsWouldCount() throws Exception {
-        try (TestNode n = TestNode.frozen("read_like")) {
+    void lostWatchStopsJobsOnceChangesCountAsNotified() throws Exception {
+        try (TestNode n = TestNode.withFrozenClock("read_like")) {
             n.watch.close();
             n.awaitCount("list calls failed WATCH_ENDED", 1);
             int failed = 0;
             long passed = 0;
-            while (passed < COUNTS_AS_TOLD_US) {
-                passed += refuseNextCall(n, ++failed);
+            while (passed < NOTIFIED_AFTER_US) {
+                passed += rejectNextListCall(n, ++failed);
             }
-            assertRefused(n, "b1");
-            confirm(n);
+            assertRejected(n, "b1");
+            confirmList(n);
             assertServed(n, "b2");
         }
     }
 
     /** Before that the list as held still holds: an outage of some seconds costs nothing. */
     @Test
-    void aSchedulerThatLostItsWatchServesOnUntilNewsWouldCount() throws Exception {
-        try (TestNode n = TestNode.frozen("read_like")) {
+    void lostWatchKeepsServingUntilChangesCountAsNotified() throws Exception {
+        try (TestNode n = TestNode.withFrozenClock("read_like")) {
             n.watch.close();
             n.awaitCount("list calls failed WATCH_ENDED", 1);
-            for (long passed = 0; passed < COUNTS_AS_TOLD_US * 2 / 3; ) {
-                passed += refuseNextCall(n, 1 + (int) n.node.invariants().counted("list calls failed UNANSWERED"));
+            for (long passed = 0; passed < NOTIFIED_AFTER_US * 2 / 3; ) {
+                passed += rejectNextListCall(n, 1 + (int) n.node.invariants().counted("list calls failed UNANSWERED"));
             }
             assertServed(n, "c1");
         }
     }
 
-    private static void confirm(TestNode n) throws Exception {
+    private static void confirmList(TestNode n) throws Exception {
         while (n.node.invariants().counted("discovery calls")
-                <= failedCalls(n)) {
-            letPass(n, STEP_US);
+                <= failedListCalls(n)) {
+            advanceInSteps(n, STEP_US);
         }
-        line(n.watchedFrom(7), "{'version':7,'full':false,'servers':[]}");
-        n.settle();
+        sendListLine(n.acceptWatch(7), "{'version':7,'full':false,'servers':[]}");
+        n.awaitLoop();
     }
 
     private static void assertServed(TestNode n, String id) throws IOException, InterruptedException {
         new AutoWorker(n, true);
-        n.goOn(0);
-        assertTrue(n.ask(job(id)).startsWith("HTTP/1.1 200"));
+        n.resumeClock(0);
+        assertTrue(n.request(job(id)).startsWith("HTTP/1.1 200"));
     }
 }
--- a/node/src/test/java/hookweir/net/LoopTest.java
+++ b/node/src/test/java/hookweir/net/LoopTest.java
@@ -14,7 +14,7 @@
 
     /** Runs on this thread from here on, as on the selector's. */
     @BeforeEach
-    void begin() {
+    void startLoop() {
         loop.stop(); // so that run returns
         loop.run();
         loop.turn();
@@ -22,7 +22,7 @@
 
     /** A round of I/O that posts much, and whose tasks post more, holds up no timer: else deadlines pass unseen. */
     @Test
-    void dueTimersRunHoweverMuchIsPosted() {
+    void dueTimersRunDespiteManyTasks() {
         Runnable again = new Runnable() {
             @Override
             public void run() {
@@ -47,7 +47,7 @@
 
     /** Nor do due timers, however many, hold up what was posted. */
     @Test
-    void postedTasksRunHoweverManyTimersAreDue() {
+    void postedTasksRunDespiteManyDueTimers() {
         Runnable again = new Runnable() {
             @Override
             public void run() {
--- a/node/src/test/java/hookweir/net/LoadTest.java
+++ b/node/src/test/java/hookweir/net/OverloadTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.hear;
 import static hookweir.net.TestNode.job;
 import static hookweir.net.TestNode.post;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,18 +24,18 @@
 
 /** More than there is room for, with small limits: everybody hears, what is held goes back to nothing. */
 @Timeout(60)
-class LoadTest {
-    private static final int BODY = 65_536;
+class OverloadTest {
+    private static final int BODY_BYTES = 65_536;
 
     @TempDir
     Path folder;
 
-    private static String big(String id) {
-        return post("/api", "Req-Id: " + id + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 20000\r\n", "b".repeat(BODY));
+    private static String largeJob(String id) {
+        return post("/api", "Req-Id: " + id + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 20000\r\n", "b".repeat(BODY_BYTES));
     }
 
-    private static void awaitFigure(TestNode n, String line) throws Exception {
-        while (!n.call("GET", "stats").contains(line + "\n")) {
+    private static void awaitMetric(TestNode n, String line) throws Exception {
+        while (!n.adminCall("GET", "stats").contains(line + "\n")) {
             Thread.sleep(20);
         }
     }
@@ -48,30 +48,30 @@
 
     /** Bodies of the largest size from hundreds at once, whole and in two parts, with room for three: it died of these. */
     @Test
-    void bodiesWaitForRoomAndAllAreAnswered() throws Exception {
+    void largeBodiesWaitForMemoryAndAllGetResponses() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':1024,'held_bytes':400000")) {
             AutoWorker worker = new AutoWorker(n, true);
             for (int i = 0; i < 300; i++) {
                 clients.add(n.connect());
-                String whole = big("big" + i);
-                say(clients.get(i), i % 2 == 0 ? whole : whole.substring(0, 300));
+                String whole = largeJob("big" + i);
+                send(clients.get(i), i % 2 == 0 ? whole : whole.substring(0, 300));
             }
             for (int i = 1; i < 300; i += 2) {
-                say(clients.get(i), big("big" + i).substring(300));
+                send(clients.get(i), largeJob("big" + i).substring(300));
             }
             int served = 0;
             for (Socket client : clients) {
-                String answer = hear(client);
+                String answer = receive(client);
                 assertTrue(answer.startsWith("HTTP/1.1 200 OK") || answer.startsWith("HTTP/1.1 429 Too Many Requests"), answer);
                 served += answer.startsWith("HTTP/1.1 200") ? 1 : 0;
             }
             assertTrue(n.node.invariants().counted("ingress waits for room") > 0);
             assertTrue(served >= 3, "served " + served);
             assertEquals(served, worker.jobs.get());
-            assertEquals(served * BODY, worker.bodyBytes.get());
-            awaitFigure(n, "svc_held_bytes 0");
-            awaitFigure(n, "svc_held_jobs 0");
+            assertEquals(served * BODY_BYTES, worker.bodyBytes.get());
+            awaitMetric(n, "svc_held_bytes 0");
+            awaitMetric(n, "svc_held_jobs 0");
         } finally {
             closeAll(clients);
         }
@@ -79,27 +79,27 @@
 
     /** Clients that leave in their hundreds, in the middle of a body, while it waits, or with a job out, leave nothing behind. */
     @Test
-    void clientsThatLeaveTakeTheirRoomWithThem() throws Exception {
+    void disconnectedClientsReleaseTheirMemory() throws Exception {
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':1024,'held_bytes':400000")) {
             new AutoWorker(n, false);
             for (int round = 0; round < 5; round++) {
                 List<Socket> clients = new ArrayList<>();
                 for (int i = 0; i < 60; i++) {
                     clients.add(n.connect());
-                    String whole = big("go" + round + "-" + i);
-                    say(clients.get(i), whole.substring(0, i % 3 == 0 ? 40_000 : whole.length()));
+                    String whole = largeJob("go" + round + "-" + i);
+                    send(clients.get(i), whole.substring(0, i % 3 == 0 ? 40_000 : whole.length()));
                 }
                 n.awaitCount("ingress waits for room", 1);
                 closeAll(clients);
             }
-            awaitFigure(n, "svc_held_bytes 0");
-            awaitFigure(n, "svc_held_jobs 0");
+            awaitMetric(n, "svc_held_bytes 0");
+            awaitMetric(n, "svc_held_jobs 0");
         }
     }
 
     /** All descriptors with jobs under way: a further client hears so at once, and call-backs still end the jobs. */
     @Test
-    void callbacksFindADescriptorWhenClientsHaveTheirs() throws Exception {
+    void callbacksGetADescriptorAtTheClientLimit() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':64")) {
             AutoWorker worker = new AutoWorker(n, false);
@@ -107,16 +107,16 @@
             while (refused.isEmpty()) {
                 Socket client = n.connect();
                 clients.add(client);
-                say(client, job("d" + clients.size()));
+                send(client, job("d" + clients.size()));
                 while (worker.jobs.get() < clients.size() && n.node.invariants().counted("ingress turned away for room") == 0) {
                     Thread.sleep(2);
                 }
-                refused = worker.jobs.get() < clients.size() ? hear(client) : "";
+                refused = worker.jobs.get() < clients.size() ? receive(client) : "";
             }
             assertTrue(refused.startsWith("HTTP/1.1 429 Too Many Requests") && refused.contains("Connection: close"), refused);
             assertTrue(clients.size() > 5, "only " + clients.size());
-            assertTrue(n.tell("d1", "s-01", "done").startsWith("HTTP/1.1 204"));
-            assertTrue(hear(clients.get(0)).startsWith("HTTP/1.1 200"));
+            assertTrue(n.sendCallback("d1", "s-01", "done").startsWith("HTTP/1.1 204"));
+            assertTrue(receive(clients.get(0)).startsWith("HTTP/1.1 200"));
         } finally {
             closeAll(clients);
         }
@@ -124,20 +124,20 @@
 
     /** Workers that take jobs and never end them: each job ends by its deadline, and its timers with it. */
     @Test
-    void jobsNobodyEndsAreOverByTheirDeadline() throws Exception {
+    void unfinishedJobsEndAtTheirDeadline() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (TestNode n = new TestNode("non_idempotent", 1_000_000, "'sockets':256")) {
             new AutoWorker(n, false);
             for (int i = 0; i < 50; i++) {
                 clients.add(n.connect());
-                say(clients.get(i), post("/api", "Req-Id: n" + i + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 1000\r\n", "x"));
+                send(clients.get(i), post("/api", "Req-Id: n" + i + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 1000\r\n", "x"));
             }
             for (Socket client : clients) {
-                String answer = hear(client);
+                String answer = receive(client);
                 assertTrue(answer.startsWith("HTTP/1.1 500") || answer.startsWith("HTTP/1.1 429"), answer);
             }
-            awaitFigure(n, "svc_held_jobs 0");
-            awaitFigure(n, "svc_held_bytes 0");
+            awaitMetric(n, "svc_held_jobs 0");
+            awaitMetric(n, "svc_held_bytes 0");
         } finally {
             closeAll(clients);
         }
@@ -145,25 +145,25 @@
 
     /** Jobs beyond the limit are refused at once while those taken on go on; room that comes free is used again. */
     @Test
-    void jobsBeyondTheLimitAreRefused() throws Exception {
+    void jobsOverTheLimitAreRejected() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':16")) {
             AutoWorker worker = new AutoWorker(n, false);
             for (int i = 0; i < 16; i++) {
                 clients.add(n.connect());
-                say(clients.get(i), job("j" + i));
+                send(clients.get(i), job("j" + i));
             }
             n.awaitCount("requests", 16);
             while (worker.jobs.get() < 1) {
                 Thread.sleep(2);
             }
             try (Socket more = n.connect()) {
-                say(more, job("j16"));
-                assertTrue(hear(more).startsWith("HTTP/1.1 429 Too Many Requests"));
+                send(more, job("j16"));
+                assertTrue(receive(more).startsWith("HTTP/1.1 429 Too Many Requests"));
                 String first = worker.ids.peek(); // any of them may be the first to get a link
-                n.tell(first, "s-01", "done");
-                assertTrue(hear(clients.get(Integer.parseInt(first.substring(1)))).startsWith("HTTP/1.1 200"));
-                say(more, job("j17"));
+                n.sendCallback(first, "s-01", "done");
+                assertTrue(receive(clients.get(Integer.parseInt(first.substring(1)))).startsWith("HTTP/1.1 200"));
+                send(more, job("j17"));
                 n.awaitCount("requests", 17);
             }
         } finally {
@@ -173,7 +173,7 @@
 
     /** The JDK's own client offers another protocol with its first request: it was refused for that. */
     @Test
-    void anOfferOfAnotherProtocolIsPassedOver() throws Exception {
+    void protocolUpgradeOfferIsIgnored() throws Exception {
         try (TestNode n = new TestNode("read_like")) {
             new AutoWorker(n, true);
             HttpResponse<String> answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_2).build().send(
@@ -186,7 +186,7 @@
 
     /** An error in the loop, as by a lack of memory, ends the process with a line and a status of its own. */
     @Test
-    void anErrorEndsTheProcessAndItSaysSo() throws Exception {
+    void fatalErrorExitsWithMessageAndStatus() throws Exception {
         Path config = folder.resolve("config.json");
         Files.writeString(config, "{'listen':'127.0.0.1:0','discovery':'127.0.0.1:9','settings':{'classes':[{'name':'a'}]}}".replace('\'', '"'));
         File log = folder.resolve("log").toFile();
--- a/node/src/test/java/hookweir/net/ParsersTest.java
+++ b/node/src/test/java/hookweir/net/ParserPropertyTest.java
@@ -31,7 +31,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** Random cuts of valid messages and random garbage against every parser, from fixed seeds. */
-class ParsersTest {
+class ParserPropertyTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String ENTRY = "{\"id\":\"s-5be2a07c\",\"addr\":\"10.1.0.18:8080\",\"zone\":\"a\",\"kind\":\"m2\","
         + "\"cell\":3,\"state\":\"SERVING\",\"weight\":1.5,\"started_ms\":17}";
@@ -41,7 +41,7 @@
     private final LoadReportParser loads = new LoadReportParser(new String[] {"x0", "utilization"});
 
     /** A copy of the text with some bytes overwritten. */
-    private static byte[] garbled(String text, List<Integer> noise) {
+    private static byte[] corrupted(String text, List<Integer> noise) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int n : noise) {
             bytes[(n >>> 8) % bytes.length] = (byte) n;
@@ -50,7 +50,7 @@
     }
 
     /** Cuts a message in pieces, each of the length that the next number says. */
-    private static List<byte[]> pieces(byte[] whole, List<Integer> lengths) {
+    private static List<byte[]> chunks(byte[] whole, List<Integer> lengths) {
         List<byte[]> pieces = new ArrayList<>();
         int from = 0;
         for (int i = 0; from < whole.length; i++) {
@@ -62,17 +62,17 @@
     }
 
     @Property(seed = "11", tries = 300)
-    void linesComeWholeHoweverCut(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) {
+    void linesAreSplitInAnyChunking(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) {
         List<String> got = new ArrayList<>();
         LineSplitter lines = new LineSplitter(500, line -> got.add(line == null ? "too long" : new String(line, StandardCharsets.UTF_8)));
         String text = LIST + "\n\n" + "x".repeat(501) + "\n" + ENTRY + "\nrest";
-        pieces(text.getBytes(StandardCharsets.UTF_8), lengths).forEach(lines::feed);
+        chunks(text.getBytes(StandardCharsets.UTF_8), lengths).forEach(lines::feed);
         assertEquals(List.of(LIST, "", "too long", ENTRY), got);
     }
 
     /** Lists may come indented; one that was cut costs itself and not the next. */
     @Property(seed = "13", tries = 300)
-    void indentedAndCutObjectsComeApart(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) throws Exception {
+    void indentedAndTruncatedObjectsAreSeparated(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) throws Exception {
         List<String> got = new ArrayList<>();
         LineSplitter lines = new LineSplitter(5000, line -> got.add(new String(line, StandardCharsets.UTF_8)));
         var json = new com.fasterxml.jackson.databind.ObjectMapper();
@@ -81,19 +81,19 @@
         String spread = json.writerWithDefaultPrettyPrinter().writeValueAsString(json.readTree(LIST));
         String cut = spread.substring(0, spread.lastIndexOf('\n', spread.length() / 2));
         String text = spread + "\n" + cut + "\n" + compact + "\n" + cut + "\n\n" + spread + "\n" + "{\"version\":4,\"se\n" + compact + "\n";
-        pieces(text.getBytes(StandardCharsets.UTF_8), lengths).forEach(lines::feed);
+        chunks(text.getBytes(StandardCharsets.UTF_8), lengths).forEach(lines::feed);
         String half = cut.replace("\n", "");
         assertEquals(List.of(indented, half, compact, half, "", indented, "{\"version\":4,\"se", compact), got);
     }
 
     @Property(seed = "12", tries = 500)
-    void garbledListsAreCountedOrRead(@ForAll @Size(min = 1, max = 6) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
+    void corruptedListsAreCountedOrParsed(@ForAll @Size(min = 1, max = 6) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
         ListUpdate.Parser parser = new ListUpdate.Parser(new String[] {"a"}, new String[] {"m2"}, invariants, () -> 0);
         ListUpdate whole = parser.parse(LIST.getBytes(StandardCharsets.UTF_8));
         assertEquals(17_000, whole.entries().get(0).worker().startedAtUs);
         assertEquals(0x5be2a07c, whole.entries().get(0).worker().id);
         long before = invariants.counted("discovery bad line") + invariants.counted("discovery bad entry");
-        ListUpdate update = parser.parse(garbled(LIST, noise));
+        ListUpdate update = parser.parse(corrupted(LIST, noise));
         boolean counted = invariants.counted("discovery bad line") + invariants.counted("discovery bad entry") > before;
         assertTrue(counted || update != null);
         for (ListUpdate.Entry e : update == null ? List.<ListUpdate.Entry>of() : update.entries()) {
@@ -102,7 +102,7 @@
     }
 
     @Property(seed = "13", tries = 500)
-    void headersMakeARequestOrAreRefused(@ForAll String id, @ForAll String number, @ForAll String extra) {
+    void headersAreParsedOrRejected(@ForAll String id, @ForAll String number, @ForAll String extra) {
         try {
             Contract.Request r = requests.parse(new InboundRequest.Headers(id, "render", number, "1", number, extra, null, null, null), "/api/" + id, 5, 1000);
             assertTrue(r.deadlineAtUs >= 1000 && r.costHintUs >= 0 && Double.isFinite(r.slots));
@@ -112,7 +112,7 @@
     }
 
     @Property(seed = "14", tries = 300)
-    void goodHeadersAreRead(@ForAll @IntRange(min = 0, max = 90_000) int ms, @ForAll long key) throws Exception {
+    void validHeadersAreParsed(@ForAll @IntRange(min = 0, max = 90_000) int ms, @ForAll long key) throws Exception {
         Contract.Request r = requests.parse(new InboundRequest.Headers("a-1", "render", "" + ms, null, "7", "slots=2,x=1", null, null, null),
             "/api/" + Long.toHexString(key), 5, 1000);
         assertEquals(1000 + ms * 1000L, r.deadlineAtUs);
@@ -122,22 +122,22 @@
 
     /** Owners by the names in the settings; one that is unknown or missing has no share, and its job is taken all the same. */
     @Example
-    void ownersAreNumberedByTheSettings() throws Exception {
+    void ownersMapToTenantsOfTheSettings() throws Exception {
         RequestParser shared = new RequestParser(Map.of("render", 0), List.of(new Contract.RequestClass()), Map.of("acme_east", 0, "b", 1));
-        assertEquals(0, tenant(shared, "acme east"));
-        assertEquals(1, tenant(shared, "b"));
-        assertEquals(RequestParser.NO_TENANT, tenant(shared, "c"));
-        assertEquals(RequestParser.NO_TENANT, tenant(shared, ""));
-        assertEquals(RequestParser.NO_TENANT, tenant(shared, null));
-        assertEquals(0, tenant(requests, "b"), "no tenants in the settings: whatever clients say");
+        assertEquals(0, parseTenant(shared, "acme east"));
+        assertEquals(1, parseTenant(shared, "b"));
+        assertEquals(RequestParser.NO_TENANT, parseTenant(shared, "c"));
+        assertEquals(RequestParser.NO_TENANT, parseTenant(shared, ""));
+        assertEquals(RequestParser.NO_TENANT, parseTenant(shared, null));
+        assertEquals(0, parseTenant(requests, "b"), "no tenants in the settings: whatever clients say");
     }
 
-    private static int tenant(RequestParser parser, String owner) throws RequestParser.BadRequestException {
+    private static int parseTenant(RequestParser parser, String owner) throws RequestParser.BadRequestException {
         return parser.parse(new InboundRequest.Headers("a-1", "render", null, null, null, null, owner, null, null), "/api", 5, 1000).tenant;
     }
 
     @Property(seed = "15", tries = 300)
-    void resultsPassUnaltered(@ForAll String result) throws IOException {
+    void resultsAreUnchanged(@ForAll String result) throws IOException {
         byte[] utf8 = result.getBytes(StandardCharsets.UTF_8);
         String text = new String(utf8, StandardCharsets.UTF_8);
         byte[] body = JSON.writeValueAsBytes(Map.of("id", "1", "from", "s", "state", "done", "result", text));
@@ -145,21 +145,21 @@
     }
 
     @Property(seed = "16", tries = 500)
-    void garbledCallbacksAndLoadsAreSurvived(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
-        Callback told = Callback.parse(garbled("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
+    void corruptedCallbacksAndLoadReportsDoNotThrow(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
+        Callback told = Callback.parse(corrupted("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
         assertTrue(told == null || told.id() != null && told.workerId() != null && told.state() != null);
         for (String text : List.of("x0=2,utilization=0.61", "{\"x0\":2,\"utilization\":0.61}")) {
             assertEquals(0.61, loads.parseBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
-            Contract.Report r = loads.parseBody(garbled(text, noise));
+            Contract.Report r = loads.parseBody(corrupted(text, noise));
             assertTrue(r == null || !Double.isInfinite(r.freeSlots) && !Double.isInfinite(r.utilization));
         }
     }
 
     @Property(seed = "17", tries = 200)
-    void garbledConfigurationNamesItsKey(@ForAll @Size(min = 1, max = 4) List<@IntRange(min = 0, max = 65_535) Integer> noise) throws IOException {
+    void corruptedConfigurationErrorNamesItsKey(@ForAll @Size(min = 1, max = 4) List<@IntRange(min = 0, max = 65_535) Integer> noise) throws IOException {
         Path file = Files.createTempFile("hookweir", ".json");
         try {
-            Files.write(file, garbled("{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"a\",\"limits\":{\"sockets\":99},"
+            Files.write(file, corrupted("{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"a\",\"limits\":{\"sockets\":99},"
                 + "\"settings\":{\"classes\":[{\"name\":\"x\",\"aim_us\":3}],\"zones\":[\"a\"]}}", noise));
             assertNotNull(ConfigReader.fromFile(file, Map.of()).settings());
         } catch (InvalidSettingException e) {
@@ -170,41 +170,41 @@
     }
 
     @Property(seed = "18", tries = 12)
-    void requestsAndAnswersMayBeCutAnywhere(@ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 40) Integer> lengths) throws IOException {
+    void requestsAndResponsesMaySplitAnywhere(@ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 40) Integer> lengths) throws IOException {
         try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
-            for (byte[] piece : pieces(TestNode.job("c1").getBytes(StandardCharsets.US_ASCII), lengths)) {
+            for (byte[] piece : chunks(TestNode.job("c1").getBytes(StandardCharsets.US_ASCII), lengths)) {
                 client.getOutputStream().write(piece);
             }
-            try (Socket w = n.worker.accept()) {
-                assertTrue(TestNode.hear(w).endsWith("\r\n\r\nwork"));
+            try (Socket w = n.workerListener.accept()) {
+                assertTrue(TestNode.receive(w).endsWith("\r\n\r\nwork"));
                 String taken = "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-                for (byte[] piece : pieces(taken.getBytes(StandardCharsets.US_ASCII), lengths)) {
+                for (byte[] piece : chunks(taken.getBytes(StandardCharsets.US_ASCII), lengths)) {
                     w.getOutputStream().write(piece);
                 }
-                assertTrue(n.tell("c1", "s-01", "done").startsWith("HTTP/1.1 204"));
-                assertTrue(TestNode.hear(client).startsWith("HTTP/1.1 200"));
+                assertTrue(n.sendCallback("c1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(TestNode.receive(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
 
     @Property(seed = "19", tries = 40)
-    void garbageOnASocketHarmsNobodyElse(@ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 255) Integer> garbage,
+    void garbageInputDoesNotAffectOtherClients(@ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 255) Integer> garbage,
             @ForAll @Size(min = 1, max = 6) List<@IntRange(min = 0, max = 65_535) Integer> noise) throws IOException {
         try (TestNode n = new TestNode("read_like")) {
             byte[] raw = new byte[garbage.size()];
             for (int i = 0; i < raw.length; i++) {
                 raw[i] = garbage.get(i).byteValue();
             }
-            for (byte[] bytes : List.of(raw, garbled(TestNode.job("d1"), noise))) {
+            for (byte[] bytes : List.of(raw, corrupted(TestNode.job("d1"), noise))) {
                 try (Socket s = n.connect()) {
                     s.getOutputStream().write(bytes);
                     s.shutdownOutput();
-                    TestNode.hear(s);
+                    TestNode.receive(s);
                 } catch (IOException e) {
                     assertNotNull(e); // a reset is a fair answer to garbage
                 }
             }
-            assertTrue(n.ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
+            assertTrue(n.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
         }
     }
 }
--- a/node/src/test/java/hookweir/net/HeldLoop.java
+++ b/node/src/test/java/hookweir/net/PausedLoop.java
@@ -1,6 +1,6 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.receive;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -10,12 +10,12 @@
 import java.util.concurrent.CountDownLatch;
 
 /** Holds the loop of a {@link TestNode} between two rounds of I/O, so that a test can order what it finds in the next one. */
-final class HeldLoop {
-    private HeldLoop() {
+final class PausedLoop {
+    private PausedLoop() {
     }
 
     /** Something that a test does by a socket. */
-    interface Step {
+    interface SocketAction {
         void run() throws IOException;
     }
 
@@ -25,12 +25,12 @@
      *
      * @return to be counted down, so that the loop goes on
      */
-    static CountDownLatch afterReading(TestNode n, Step step) throws Exception {
-        CountDownLatch before = n.deaf();
-        step.run();
+    static CountDownLatch pauseAfterReading(TestNode node, SocketAction action) throws Exception {
+        CountDownLatch loopGate = node.blockLoop();
+        action.run();
         CountDownLatch entered = new CountDownLatch(1);
         CountDownLatch gate = new CountDownLatch(1);
-        n.node.afterIoRound(() -> {
+        node.node.afterIoRound(() -> {
             entered.countDown();
             try {
                 gate.await();
@@ -38,20 +38,20 @@
                 Thread.currentThread().interrupt();
             }
         });
-        before.countDown();
+        loopGate.countDown();
         entered.await();
         return gate;
     }
 
     /** All that came over connections that nobody has accepted yet; the node is ended for that. */
-    static String sentTo(ServerSocket door, TestNode n) throws IOException {
-        n.node.stop();
+    static String receiveFromPending(ServerSocket listener, TestNode node) throws IOException {
+        node.node.stop();
         StringBuilder all = new StringBuilder();
-        door.setSoTimeout(100);
+        listener.setSoTimeout(100);
         try {
             while (true) {
-                try (Socket s = door.accept()) {
-                    all.append(sentOn(s, n));
+                try (Socket socket = listener.accept()) {
+                    all.append(receiveUntilClosed(socket, node));
                 }
             }
         } catch (SocketTimeoutException none) {
@@ -60,11 +60,11 @@
     }
 
     /** All that comes over the connection until its end; the node is ended for that. */
-    static String sentOn(Socket s, TestNode n) throws IOException {
-        n.node.stop();
+    static String receiveUntilClosed(Socket socket, TestNode node) throws IOException {
+        node.node.stop();
         StringBuilder all = new StringBuilder();
         try {
-            for (String message = hear(s); !message.isEmpty(); message = hear(s)) {
+            for (String message = receive(socket); !message.isEmpty(); message = receive(socket)) {
                 all.append(message);
             }
         } catch (SocketException reset) {
@@ -74,15 +74,15 @@
     }
 
     /** The entry of a second worker, which listens at that door. */
-    static String second(TestNode n, ServerSocket door, String state) {
-        return n.entry(state).replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + door.getLocalPort() + "','zone");
+    static String secondWorkerEntry(TestNode node, ServerSocket listener, String state) {
+        return node.workerEntry(state).replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + listener.getLocalPort() + "','zone");
     }
 
     /** Entries of so many workers, all behind that door: none has room for many jobs. */
-    static String many(TestNode n, ServerSocket door, String state, int count) {
+    static String workerEntries(TestNode node, ServerSocket listener, String state, int count) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(i == 0 ? "" : ",").append(second(n, door, state).replace("s-02", "s-1" + i));
+            all.append(i == 0 ? "" : ",").append(secondWorkerEntry(node, listener, state).replace("s-02", "s-1" + i));
         }
         return all.toString();
     }
--- a/node/src/test/java/hookweir/net/HardLoadTest.java
+++ b/node/src/test/java/hookweir/net/ResourceLimitsTest.java
@@ -1,8 +1,8 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.hear;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,24 +19,24 @@
 
 /** Load that would take more than there may be: the bound holds, and what was taken on goes on. */
 @Timeout(60)
-class HardLoadTest {
+class ResourceLimitsTest {
     /** Clients have all the connections that they may, and use none: a newcomer's job is worth more than one that rests. */
     @Test
-    void restingClientsMakeWayForAJob() throws Exception {
+    void idleClientsAreDisconnectedForANewJob() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':64")) {
             new AutoWorker(n, true);
             for (int i = 0; i < 9; i++) { // three quarters of four fifths of the 16 that are not the process's own
                 clients.add(n.connect());
-                say(clients.get(i), job("r" + i));
-                assertTrue(hear(clients.get(i)).startsWith("HTTP/1.1 200"));
+                send(clients.get(i), job("r" + i));
+                assertTrue(receive(clients.get(i)).startsWith("HTTP/1.1 200"));
             }
             Thread.sleep(1100); // one used within the last second may have its next request on the way
             for (int i = 0; i < 3; i++) {
                 Socket more = n.connect();
                 clients.add(more);
-                say(more, job("m" + i));
-                String answer = hear(more);
+                send(more, job("m" + i));
+                String answer = receive(more);
                 assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
             }
             assertEquals(-1, clients.get(0).getInputStream().read()); // the longest unused one went
@@ -50,27 +50,27 @@
 
     /** A file that allows fewer jobs than are held: those held go on, nobody new is taken until there is room again. */
     @Test
-    void limitsLoweredBelowWhatIsHeldTakeNothingAway() throws Exception {
+    void loweredJobLimitKeepsPendingJobs() throws Exception {
         List<Socket> clients = new ArrayList<>();
         Path file = Files.createTempFile("hookweir", ".json");
         try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':32")) {
             AutoWorker worker = new AutoWorker(n, false);
             for (int i = 0; i < 24; i++) {
                 clients.add(n.connect());
-                say(clients.get(i), job("k" + i));
+                send(clients.get(i), job("k" + i));
             }
             n.awaitCount("requests", 24);
-            Files.writeString(file, n.config("127.0.0.1:" + n.list.getLocalPort()).replace("\"held_jobs\":32", "\"held_jobs\":16"));
+            Files.writeString(file, n.config("127.0.0.1:" + n.listService.getLocalPort()).replace("\"held_jobs\":32", "\"held_jobs\":16"));
             n.node.reload(Map.of("RELAY_CONFIG", file.toString()));
             n.awaitCount("reloads", 1);
-            assertTrue(n.ask(job("more")).startsWith("HTTP/1.1 429"));
+            assertTrue(n.request(job("more")).startsWith("HTTP/1.1 429"));
             while (worker.ids.isEmpty()) {
                 Thread.sleep(2);
             }
             String id = worker.ids.peek();
-            n.tell(id, "s-01", "done");
-            assertTrue(hear(clients.get(Integer.parseInt(id.substring(1)))).startsWith("HTTP/1.1 200"), id);
-            assertTrue(n.ask(job("still")).startsWith("HTTP/1.1 429")); // 23 are held, 16 may be
+            n.sendCallback(id, "s-01", "done");
+            assertTrue(receive(clients.get(Integer.parseInt(id.substring(1)))).startsWith("HTTP/1.1 200"), id);
+            assertTrue(n.request(job("still")).startsWith("HTTP/1.1 429")); // 23 are held, 16 may be
             for (int i = 0; i < 24; i++) {
                 if (i != Integer.parseInt(id.substring(1)) && clients.stream().filter(Socket::isClosed).count() < 8) {
                     clients.get(i).close();
@@ -78,7 +78,7 @@
             }
             n.awaitCount("clients gone", 8);
             try (Socket next = n.connect()) {
-                say(next, job("next"));
+                send(next, job("next"));
                 n.awaitCount("requests", 25);
             }
             assertEquals(0, n.node.invariants().counted("BROKEN event failed"));
@@ -92,7 +92,7 @@
 
     /** Clients that come again at once at each refusal: each request has one answer, and the jobs held end as ever. */
     @Test
-    void aStormOfRetriesHoldsUpNobody() throws Exception {
+    void retryStormDoesNotBlockPendingJobs() throws Exception {
         int storm = 20;
         int tries = 200;
         List<Socket> clients = new ArrayList<>();
@@ -100,7 +100,7 @@
             AutoWorker worker = new AutoWorker(n, false);
             for (int i = 0; i < 16; i++) {
                 clients.add(n.connect());
-                say(clients.get(i), job("h" + i));
+                send(clients.get(i), job("h" + i));
             }
             n.awaitCount("requests", 16);
             List<Thread> stormers = new ArrayList<>();
@@ -110,8 +110,8 @@
                 Thread t = new Thread(() -> {
                     try (Socket c = n.connect()) {
                         for (int i = 0; i < tries; i++) {
-                            say(c, job(name + i));
-                            String answer = hear(c);
+                            send(c, job(name + i));
+                            String answer = receive(c);
                             if (!answer.startsWith("HTTP/1.1 429")) {
                                 odd.add(answer);
                             }
@@ -132,9 +132,9 @@
                 Thread.sleep(2);
             }
             String held = worker.ids.peek();
-            n.tell(held, "s-01", "done");
-            assertTrue(hear(clients.get(Integer.parseInt(held.substring(1)))).startsWith("HTTP/1.1 200"));
-            assertFalse(n.call("GET", "stats").contains("svc_held_jobs 17"));
+            n.sendCallback(held, "s-01", "done");
+            assertTrue(receive(clients.get(Integer.parseInt(held.substring(1)))).startsWith("HTTP/1.1 200"));
+            assertFalse(n.adminCall("GET", "stats").contains("svc_held_jobs 17"));
         } finally {
             for (Socket c : clients) {
                 c.close();
--- a/node/src/test/java/hookweir/net/RestartTest.java
+++ b/node/src/test/java/hookweir/net/RestartTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,25 +18,25 @@
  */
 final class RestartTest {
     @Test
-    void aNewLifeSendsNothingOfTheOldAndTakesItsLateCallBacks() throws Exception {
+    void restartedProcessAcceptsLateCallbackAndSendsNothing() throws Exception {
         Socket client;
         try (TestNode old = new TestNode("non_idempotent")) {
             client = old.connect();
-            say(client, job("k1"));
-            try (Socket w = old.worker.accept()) {
-                assertTrue(hear(w).startsWith("POST /api"));
-                say(w, TAKEN);
+            send(client, job("k1"));
+            try (Socket w = old.workerListener.accept()) {
+                assertTrue(receive(w).startsWith("POST /api"));
+                send(w, ACCEPTED);
                 old.awaitCount("egress dials", 1);
             }
         }
         // The old life ended with the job held: its client hears no answer, only the end of its connection.
-        assertTrue(hear(client).isEmpty(), "an answer for what the old life held");
+        assertTrue(receive(client).isEmpty(), "an answer for what the old life held");
         client.close();
         try (TestNode again = new TestNode("non_idempotent")) {
-            assertTrue(again.tell("k1", "s-01", "done").startsWith("HTTP/1.1 2"), "the late call-back is taken");
+            assertTrue(again.sendCallback("k1", "s-01", "done").startsWith("HTTP/1.1 2"), "the late call-back is taken");
             again.awaitCount("call-backs for nothing", 1);
-            again.worker.setSoTimeout(300);
-            assertThrows(SocketTimeoutException.class, () -> again.worker.accept().close(), "the new life sent work");
+            again.workerListener.setSoTimeout(300);
+            assertThrows(SocketTimeoutException.class, () -> again.workerListener.accept().close(), "the new life sent work");
         }
     }
 }
--- a/node/src/test/java/hookweir/net/SplitMessagesTest.java
+++ b/node/src/test/java/hookweir/net/SplitMessagesTest.java
@@ -1,7 +1,7 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.hear;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,15 +26,15 @@
     /** Sends the message in two parts; the pause usually makes them two reads, but the test passes either way. */
     private static void saySplit(Socket socket, String message, int cut) throws IOException, InterruptedException {
         socket.setTcpNoDelay(true);
-        say(socket, message.substring(0, cut));
+        send(socket, message.substring(0, cut));
         Thread.sleep(2);
-        say(socket, message.substring(cut));
+        send(socket, message.substring(cut));
     }
 
     private static void sayBytewise(Socket socket, String message) throws IOException, InterruptedException {
         socket.setTcpNoDelay(true);
         for (int i = 0; i < message.length(); i++) {
-            say(socket, message.substring(i, i + 1));
+            send(socket, message.substring(i, i + 1));
             Thread.sleep(1);
         }
     }
@@ -45,11 +45,11 @@
             for (String message : new String[] {PLAIN, CHUNKED}) {
                 for (int cut = 1; cut < message.length(); cut++) {
                     saySplit(socket, message, cut);
-                    String response = hear(socket);
+                    String response = receive(socket);
                     assertTrue(response.startsWith("HTTP/1.1 204") && !response.contains("close"), cut + ": " + response);
                 }
                 sayBytewise(socket, message);
-                assertTrue(hear(socket).startsWith("HTTP/1.1 204"));
+                assertTrue(receive(socket).startsWith("HTTP/1.1 204"));
             }
         }
     }
@@ -59,16 +59,16 @@
         try (TestNode node = new TestNode("read_like"); Socket client = node.connect()) {
             Socket worker = null;
             for (int cut = 0; cut < ACCEPTED_RESPONSE.length(); cut += 6) { // the offsets between are covered by the same decoder in listLinesMaySplitAnywhere
-                say(client, TestNode.job("w" + cut));
-                worker = worker == null ? node.worker.accept() : worker; // one connection carries them all, as each response is read completely
-                hear(worker);
+                send(client, TestNode.job("w" + cut));
+                worker = worker == null ? node.workerListener.accept() : worker; // one connection carries them all, as each response is read completely
+                receive(worker);
                 if (cut == 0) {
                     sayBytewise(worker, ACCEPTED_RESPONSE);
                 } else {
                     saySplit(worker, ACCEPTED_RESPONSE, cut);
                 }
-                node.tell("w" + cut, "s-01", "done");
-                assertTrue(hear(client).startsWith("HTTP/1.1 200"));
+                node.sendCallback("w" + cut, "s-01", "done");
+                assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
             assertEquals(1, node.node.invariants().counted("egress dials"));
         }
@@ -77,7 +77,7 @@
     @Test
     void listLinesMaySplitAnywhere() throws Exception {
         try (TestNode node = new TestNode("read_like"); Socket listService = node.watch) {
-            String line = ("{'version':9,'full':false,'servers':[" + node.entry("SERVING") + "]}\n").replace('\'', '"');
+            String line = ("{'version':9,'full':false,'servers':[" + node.workerEntry("SERVING") + "]}\n").replace('\'', '"');
             String chunk = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n1\r\n\n\r\n";
             for (int cut = 1; cut < chunk.length(); cut++) {
                 saySplit(listService, chunk, cut);
--- a/node/src/test/java/hookweir/net/TestNode.java
+++ b/node/src/test/java/hookweir/net/TestNode.java
@@ -21,30 +21,30 @@
 /** A scheduler on a free port with one worker, which is a plain server socket that the test plays by hand. */
 final class TestNode implements AutoCloseable {
     /** A worker's answer: it has the job. */
-    static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+    static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     /** The head of a watch's answer. */
-    static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    final ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    final ServerSocket list = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    final ServerSocket workerListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    final ServerSocket listService = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     final Node node;
     final int port;
-    final Thread loop;
+    final Thread loopThread;
     /** The watch of the list as the scheduler opened it at its start; null where the test plays the list service itself. */
     final Socket watch;
     /** By so many nanoseconds the scheduler's clock is ahead of the system's. */
-    volatile LongSupplier ahead = () -> 0;
-    private static final long TICK_US = 2_000;
-    private static final long BEAT_MS = 1_000;
-    private long stoodAt;
+    volatile LongSupplier clockOffsetNs = () -> 0;
+    private static final long FIRST_TIMER_US = 2_000;
+    private static final long HEARTBEAT_INTERVAL_MS = 1_000;
+    private long frozenAtNs;
     private final String semantics;
     private final long deadlineUs;
-    private final boolean probes;
+    private final boolean probesEnabled;
     private final String limits;
     private final String listMode;
     /** The list as last held, with ' for "; null for one worker that serves. */
-    private final String known;
-    private final boolean cancels;
+    private final String cachedList;
+    private final boolean cancelEnabled;
 
     /** The class's semantics: read_like, non_idempotent or idempotency_key. */
     TestNode(String semantics) throws IOException {
@@ -55,8 +55,8 @@
         this(semantics, deadlineUs, false);
     }
 
-    TestNode(String semantics, long deadlineUs, boolean probes) throws IOException {
-        this(semantics, deadlineUs, probes, null);
+    TestNode(String semantics, long deadlineUs, boolean probesEnabled) throws IOException {
+        this(semantics, deadlineUs, probesEnabled, null);
     }
 
     /** With limits of its own, as JSON. */
@@ -65,154 +65,154 @@
     }
 
     /** With a name by which it meets other processes of its scheduler. */
-    TestNode(String semantics, long deadlineUs, boolean probes, Path meeting) throws IOException {
-        this(semantics, deadlineUs, probes, meeting, "'sockets':128", "ask");
+    TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath) throws IOException {
+        this(semantics, deadlineUs, probesEnabled, handoverPath, "'sockets':128", "ask");
     }
 
     /** Whose list service the test plays from the start: it has been asked for the changes, and nothing is sent before it answers. */
-    static TestNode unconfirmed(String semantics) throws IOException {
+    static TestNode withUnconfirmedList(String semantics) throws IOException {
         return new TestNode(semantics, 20_000_000, false, null, "'sockets':128", "ask", true, false, false, null);
     }
 
-    /** As {@link #unconfirmed(String)}, with another list as last held. */
-    static TestNode withKnown(String known) throws IOException {
-        return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "ask", true, false, false, known);
+    /** As {@link #withUnconfirmedList(String)}, with another list as last held. */
+    static TestNode withCachedList(String cachedList) throws IOException {
+        return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "ask", true, false, false, cachedList);
     }
 
-    /** As {@link #unconfirmed(String)}, with a name by which it meets other processes of its scheduler. */
-    static TestNode unconfirmed(String semantics, Path meeting) throws IOException {
-        return new TestNode(semantics, 20_000_000, false, meeting, "'sockets':128", "ask", true, false, false, null);
+    /** As {@link #withUnconfirmedList(String)}, with a name by which it meets other processes of its scheduler. */
+    static TestNode withUnconfirmedList(String semantics, Path handoverPath) throws IOException {
+        return new TestNode(semantics, 20_000_000, false, handoverPath, "'sockets':128", "ask", true, false, false, null);
     }
 
     /** Where an agent on the own machine holds the list as it is pushed. */
-    static TestNode pushed() throws IOException {
+    static TestNode withPushedList() throws IOException {
         return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "push");
     }
 
     /** Whose clock stands still from its start. */
-    static TestNode frozen(String semantics) throws IOException {
+    static TestNode withFrozenClock(String semantics) throws IOException {
         return new TestNode(semantics, 20_000_000, false, null, "'sockets':128", "ask", true, true, true, null);
     }
 
     /** Where attempts can't be called off. */
-    static TestNode withoutCancels() throws IOException {
+    static TestNode withoutCancellation() throws IOException {
         return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "ask", false, false, true, null);
     }
 
-    private TestNode(String semantics, long deadlineUs, boolean probes, Path meeting, String limits, String listMode)
+    private TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath, String limits, String listMode)
             throws IOException {
-        this(semantics, deadlineUs, probes, meeting, limits, listMode, true, false, listMode.equals("ask"), null);
+        this(semantics, deadlineUs, probesEnabled, handoverPath, limits, listMode, true, false, listMode.equals("ask"), null);
     }
 
-    private TestNode(String semantics, long deadlineUs, boolean probes, Path meeting, String limits, String listMode, boolean cancels,
-            boolean startsFrozen, boolean confirmed, String known) throws IOException {
-        this.known = known;
-        this.cancels = cancels;
+    private TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath, String limits, String listMode, boolean cancelEnabled,
+            boolean startsFrozen, boolean confirmList, String cachedList) throws IOException {
+        this.cachedList = cachedList;
+        this.cancelEnabled = cancelEnabled;
         if (startsFrozen) {
-            freeze();
+            freezeClock();
         }
         this.limits = limits;
         this.listMode = listMode;
-        this.probes = probes;
+        this.probesEnabled = probesEnabled;
         this.semantics = semantics;
         this.deadlineUs = deadlineUs;
-        worker.setSoTimeout(20_000);
-        list.setSoTimeout(20_000);
+        workerListener.setSoTimeout(20_000);
+        listService.setSoTimeout(20_000);
         Path file = Files.createTempFile("hookweir", ".json");
-        Files.writeString(file, config("127.0.0.1:" + list.getLocalPort()));
+        Files.writeString(file, config("127.0.0.1:" + listService.getLocalPort()));
         Config config;
         try {
-            Config c = ConfigReader.fromFile(file, Map.of());
-            config = new Config(c.name(), c.listenAddress(), c.adminAddress(), c.listServiceAddress(), c.seed(), c.maxDescriptors(), c.maxHeldBytes(),
-                c.maxHeldJobs(), c.cachedWorkerList(), c.settings(), false, true, meeting, c.sourceJson());
+            Config parsed = ConfigReader.fromFile(file, Map.of());
+            config = new Config(parsed.name(), parsed.listenAddress(), parsed.adminAddress(), parsed.listServiceAddress(), parsed.seed(), parsed.maxDescriptors(), parsed.maxHeldBytes(),
+                parsed.maxHeldJobs(), parsed.cachedWorkerList(), parsed.settings(), false, true, handoverPath, parsed.sourceJson());
         } catch (InvalidSettingException e) {
             throw new IllegalStateException(e);
         }
         Files.delete(file);
-        node = new Node(config, () -> System.nanoTime() + ahead.getAsLong());
+        node = new Node(config, () -> System.nanoTime() + clockOffsetNs.getAsLong());
         port = node.start();
-        loop = new Thread(() -> {
+        loopThread = new Thread(() -> {
             try {
                 node.run();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        loop.start();
-        watch = confirmed ? confirmed() : null;
+        loopThread.start();
+        watch = confirmList ? confirmCachedList() : null;
     }
 
     /** Plays a list service that has no news for the list as last held. */
-    private Socket confirmed() throws IOException {
+    private Socket confirmCachedList() throws IOException {
         try {
-            if (stoodAt != 0) {
-                rounds();
-                step(TICK_US); // the first call is a timer's
+            if (frozenAtNs != 0) {
+                awaitIoRounds();
+                advanceFrozenClock(FIRST_TIMER_US); // the first call is a timer's
             }
-            Socket opened = watchedFrom(7);
-            line(opened, "{'version':7,'full':false,'servers':[]}");
+            Socket watch = acceptWatch(7);
+            sendListLine(watch, "{'version':7,'full':false,'servers':[]}");
             awaitCount("list updates", 2);
-            beat(opened);
-            return opened;
+            sendHeartbeats(watch);
+            return watch;
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
     }
 
     /** Writes the empty lines of a watch on which nothing changes, until it ends. */
-    private static void beat(Socket watch) {
-        Thread beats = new Thread(() -> {
+    private static void sendHeartbeats(Socket watch) {
+        Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    Thread.sleep(BEAT_MS);
-                    line(watch, "");
+                    Thread.sleep(HEARTBEAT_INTERVAL_MS);
+                    sendListLine(watch, "");
                 }
             } catch (IOException | InterruptedException e) {
                 Thread.currentThread().interrupt(); // the watch is over
             }
         });
-        beats.setDaemon(true);
-        beats.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /** The configuration, with discovery at this address. */
-    String config(String discovery) {
-        return ("{'listen':'127.0.0.1:0','admin_addr':'127.0.0.1:0','discovery':'" + discovery + "','seed':'1','limits':{" + limits + "},"
-            + "'known':" + (known == null ? "{'version':7,'full':true,'servers':[" + entry("SERVING") + "]}" : known) + ","
+    String config(String listServiceAddress) {
+        return ("{'listen':'127.0.0.1:0','admin_addr':'127.0.0.1:0','discovery':'" + listServiceAddress + "','seed':'1','limits':{" + limits + "},"
+            + "'known':" + (cachedList == null ? "{'version':7,'full':true,'servers':[" + workerEntry("SERVING") + "]}" : cachedList) + ","
             + "'settings':{'classes':[{'name':'render','aim_us':" + deadlineUs / 2 + ",'deadline_us':" + deadlineUs + ",'semantics':'"
             + semantics + "','key_scope':'all','window_us':20000000}],'zones':['a'],'kinds':['m'],"
             + "'discovery':'" + listMode + "','rules':{'ask_within_us':4000},"
             + "'stats':{'via':'pull','fields':['x0','errors_per_s']},"
-            + "'limits':{'max_attempts':3,'probes':" + probes + ",'cancel':" + cancels + ",'dial_timeout_us':5000000}}}").replace('\'', '"');
+            + "'limits':{'max_attempts':3,'probes':" + probesEnabled + ",'cancel':" + cancelEnabled + ",'dial_timeout_us':5000000}}}").replace('\'', '"');
     }
 
-    String entry(String state) {
-        return "{'id':'s-01','addr':'127.0.0.1:" + worker.getLocalPort() + "','zone':'a','kind':'m','cell':0,'state':'"
+    String workerEntry(String state) {
+        return "{'id':'s-01','addr':'127.0.0.1:" + workerListener.getLocalPort() + "','zone':'a','kind':'m','cell':0,'state':'"
             + state + "','weight':1.0,'started_ms':0}";
     }
 
     Socket connect() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-        s.setSoTimeout(20_000);
-        return s;
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
     /** An operators' call, on a connection of its own; all that comes of it. */
-    String call(String method, String path) throws IOException {
-        try (Socket s = admin()) {
-            say(s, method + " /admin/" + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String adminCall(String method, String path) throws IOException {
+        try (Socket socket = connectAdmin()) {
+            send(socket, method + " /admin/" + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    Socket admin() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), node.adminPort());
-        s.setSoTimeout(20_000);
-        return s;
+    Socket connectAdmin() throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), node.adminPort());
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
     /** Gives the loop one task after the other until the latch is let go; counted as "let go" then. */
-    CountDownLatch busy() {
+    CountDownLatch keepLoopBusy() {
         CountDownLatch gate = new CountDownLatch(1);
         node.post(new Runnable() {
             @Override
@@ -227,29 +227,29 @@
         return gate;
     }
 
-    /** Stops the scheduler's clock, until {@link #goOn}. */
-    void freeze() {
-        stand(System.nanoTime() + ahead.getAsLong());
+    /** Stops the scheduler's clock, until {@link #resumeClock}. */
+    void freezeClock() {
+        freezeClockAt(System.nanoTime() + clockOffsetNs.getAsLong());
     }
 
     /** Lets the clock that stands be so much later, and stand there. */
-    void step(long us) {
-        stand(stoodAt + us * 1000);
+    void advanceFrozenClock(long us) {
+        freezeClockAt(frozenAtNs + us * 1000);
     }
 
-    private void stand(long at) {
-        stoodAt = at;
-        ahead = () -> at - System.nanoTime();
+    private void freezeClockAt(long ns) {
+        frozenAtNs = ns;
+        clockOffsetNs = () -> ns - System.nanoTime();
     }
 
     /** Lets its clock go on, as if so much had passed. */
-    void goOn(long us) {
-        long by = ahead.getAsLong() + us * 1000;
-        ahead = () -> by;
+    void resumeClock(long us) {
+        long offsetNs = clockOffsetNs.getAsLong() + us * 1000;
+        clockOffsetNs = () -> offsetNs;
     }
 
     /** Keeps the loop from reading until the latch is let go. */
-    CountDownLatch deaf() throws InterruptedException {
+    CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch entered = new CountDownLatch(1);
         CountDownLatch gate = new CountDownLatch(1);
         node.post(() -> {
@@ -265,40 +265,40 @@
     }
 
     /** Plays the agent of a pushed list: answers the first call with the list as last held, and opens the watch behind it. */
-    Socket watched() throws IOException {
-        try (Socket call = list.accept()) {
-            assertTrue(hear(call).startsWith("GET /v1/servers HTTP/1.1\r\n"));
-            sayList(call, 7, "SERVING");
+    Socket acceptListCallAndWatch() throws IOException {
+        try (Socket call = listService.accept()) {
+            assertTrue(receive(call).startsWith("GET /v1/servers HTTP/1.1\r\n"));
+            sendWholeList(call, 7, "SERVING");
         }
-        return watchedFrom(7);
+        return acceptWatch(7);
     }
 
     /** Takes a call for a watch, and begins to answer it. */
-    Socket watchedFrom(long version) throws IOException {
-        Socket watch = list.accept();
-        assertTrue(hear(watch).startsWith("GET /v1/servers?watch=1&after=" + version + " HTTP/1.1\r\n"));
-        say(watch, CHUNKED);
+    Socket acceptWatch(long version) throws IOException {
+        Socket watch = listService.accept();
+        assertTrue(receive(watch).startsWith("GET /v1/servers?watch=1&after=" + version + " HTTP/1.1\r\n"));
+        send(watch, CHUNKED_HEAD);
         return watch;
     }
 
     /** The whole list, its one worker in this state. */
-    void sayList(Socket call, long version, String state) throws IOException {
-        String text = ("{'version':" + version + ",'full':true,'servers':[" + entry(state) + "]}").replace('\'', '"');
-        say(call, "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
+    void sendWholeList(Socket call, long version, String state) throws IOException {
+        String text = ("{'version':" + version + ",'full':true,'servers':[" + workerEntry(state) + "]}").replace('\'', '"');
+        send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
     }
 
     /** Waits until the loop has read what is there by now, and done what that led to. */
-    void rounds() throws InterruptedException {
+    void awaitIoRounds() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
-            CountDownLatch over = new CountDownLatch(1);
-            node.afterIoRound(over::countDown);
-            over.await();
+            CountDownLatch done = new CountDownLatch(1);
+            node.afterIoRound(done::countDown);
+            done.await();
         }
     }
 
     /** Waits until the loop has done all that it had to do by now. */
-    void settle() throws IOException {
-        ask("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+    void awaitLoop() throws IOException {
+        request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
     }
 
     /** Waits until something was counted so often. */
@@ -309,10 +309,10 @@
     }
 
     /** A whole request and its answer on a connection of its own. */
-    String ask(String message) throws IOException {
-        try (Socket s = connect()) {
-            say(s, message);
-            return hear(s);
+    String request(String message) throws IOException {
+        try (Socket socket = connect()) {
+            send(socket, message);
+            return receive(socket);
         }
     }
 
@@ -324,23 +324,23 @@
         return post("/api", "Req-Id: " + id + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 20000\r\n", "work");
     }
 
-    String tell(String id, String from, String state) throws IOException {
-        return ask(post("/callback", "", ("{'id':'" + id + "','from':'" + from + "','state':'" + state + "','result':'r\\u00e9s'}").replace('\'', '"')));
+    String sendCallback(String id, String workerId, String state) throws IOException {
+        return request(post("/callback", "", ("{'id':'" + id + "','from':'" + workerId + "','state':'" + state + "','result':'r\\u00e9s'}").replace('\'', '"')));
     }
 
     /** One line of a watch, with ' for ", as discovery sends it. */
-    static void line(Socket watch, String json) throws IOException {
+    static void sendListLine(Socket watch, String json) throws IOException {
         String text = json.replace('\'', '"') + "\n";
-        say(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+        send(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    static void say(Socket s, String message) throws IOException {
-        s.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
+    static void send(Socket socket, String message) throws IOException {
+        socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** One whole message with a length; what came of it, where the connection ends sooner. */
-    static String hear(Socket s) throws IOException {
-        InputStream in = s.getInputStream();
+    static String receive(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int end = -1;
         for (int b = in.read(); b >= 0; b = in.read()) {
@@ -360,7 +360,7 @@
     @Override
     public void close() throws IOException {
         node.stop();
-        worker.close();
-        list.close();
+        workerListener.close();
+        listService.close();
     }
 }
--- a/node/src/test/java/hookweir/net/UpgradeTest.java
+++ b/node/src/test/java/hookweir/net/UpgradeTest.java
@@ -1,9 +1,9 @@
 package hookweir.net;
 
-import static hookweir.net.TestNode.TAKEN;
-import static hookweir.net.TestNode.hear;
+import static hookweir.net.TestNode.ACCEPTED;
 import static hookweir.net.TestNode.job;
-import static hookweir.net.TestNode.say;
+import static hookweir.net.TestNode.receive;
+import static hookweir.net.TestNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
@@ -37,33 +37,33 @@
     Path folder;
 
     /** Unix sockets that this process holds besides those, by what the system says of its descriptors. */
-    private static Set<String> unixSockets(Set<String> but) throws IOException {
+    private static Set<String> unixSockets(Set<String> excluded) throws IOException {
         Set<String> unix = new HashSet<>();
         for (String line : Files.readAllLines(Path.of("/proc/self/net/unix"))) {
-            String[] f = line.strip().split("\\s+");
-            unix.add(f.length > 6 ? "socket:[" + f[6] + "]" : "");
+            String[] fields = line.strip().split("\\s+");
+            unix.add(fields.length > 6 ? "socket:[" + fields[6] + "]" : "");
         }
         Set<String> held = new HashSet<>();
         try (java.util.stream.Stream<Path> all = Files.list(Path.of("/proc/self/fd"))) {
-            for (Path p : all.toList()) {
+            for (Path link : all.toList()) {
                 try {
-                    held.add(Files.readSymbolicLink(p).toString());
+                    held.add(Files.readSymbolicLink(link).toString());
                 } catch (java.nio.file.NoSuchFileException e) {
                     continue; // closed since, the listing's own among them
                 }
             }
         }
         held.retainAll(unix);
-        held.removeAll(but);
+        held.removeAll(excluded);
         return held;
     }
 
     /** Where the hand-over is off nobody looks for another process or can be found by one, though one starts beside it. */
     @Test
-    void withoutTheHandOverThereIsNoUnixSocket() throws Exception {
+    void withoutHandoverThereIsNoUnixSocket() throws Exception {
         Set<String> before = unixSockets(Set.of()); // what earlier tests left may go at any time
-        try (TestNode old = node(); TestNode young = follower()) {
-            tellList(young);
+        try (TestNode old = startProcess(); TestNode young = startSuccessor()) {
+            sendList(young);
             old.awaitCount("clients sent away", 1);
             assertTrue(unixSockets(before).size() >= 3, "the name and both ends of the wire"); // the look itself works
         }
@@ -72,61 +72,61 @@
         }
         Files.deleteIfExists(folder.resolve("hw"));
         try (TestNode old = new TestNode("read_like", 20_000_000); TestNode young = new TestNode("read_like", 20_000_000)) {
-            old.settle();
-            young.settle();
+            old.awaitLoop();
+            young.awaitLoop();
             assertEquals(Set.of(), unixSockets(before));
-            assertTrue(old.call("GET", "health").startsWith("HTTP/1.1 200"));
-            assertTrue(young.call("GET", "health").startsWith("HTTP/1.1 200"));
+            assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+            assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
             try (java.util.stream.Stream<Path> left = Files.list(folder)) {
                 assertEquals(0, left.count());
             }
         }
     }
 
-    private TestNode node() throws IOException {
+    private TestNode startProcess() throws IOException {
         return new TestNode("read_like", 20_000_000, false, folder.resolve("hw"));
     }
 
     /** Which has yet to hear of the list. */
-    private TestNode follower() throws IOException {
-        return TestNode.unconfirmed("read_like", folder.resolve("hw"));
+    private TestNode startSuccessor() throws IOException {
+        return TestNode.withUnconfirmedList("read_like", folder.resolve("hw"));
     }
 
-    private static void tellList(TestNode n) throws IOException {
-        try (Socket watch = n.watchedFrom(7)) {
-            TestNode.line(watch, "{'version':8,'full':true,'servers':[" + n.entry("SERVING") + "]}");
+    private static void sendList(TestNode n) throws IOException {
+        try (Socket watch = n.acceptWatch(7)) {
+            TestNode.sendListLine(watch, "{'version':8,'full':true,'servers':[" + n.workerEntry("SERVING") + "]}");
         }
     }
 
     /** Either process may get the other's call-backs; the old one lets no more clients in, until the new one is gone. */
     @Test
-    void callBacksFindTheirProcessAndTheDoorIsHandedOver() throws Exception {
-        try (TestNode old = node(); Socket client = old.connect(); Socket resting = old.connect()) {
-            say(resting, HEALTHZ);
-            hear(resting);
-            say(client, job("u1"));
-            try (Socket w = old.worker.accept()) {
-                hear(w);
-                say(w, TAKEN);
-                try (TestNode young = follower()) {
-                    assertTrue(young.call("GET", "health").startsWith("HTTP/1.1 503")); // not before it has the list
-                    assertTrue(old.call("GET", "health").startsWith("HTTP/1.1 200"));
-                    tellList(young);
+    void callbacksReachTheirProcessAndClientsAreHandedOver() throws Exception {
+        try (TestNode old = startProcess(); Socket client = old.connect(); Socket resting = old.connect()) {
+            send(resting, HEALTHZ);
+            receive(resting);
+            send(client, job("u1"));
+            try (Socket w = old.workerListener.accept()) {
+                receive(w);
+                send(w, ACCEPTED);
+                try (TestNode young = startSuccessor()) {
+                    assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 503")); // not before it has the list
+                    assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+                    sendList(young);
                     old.awaitCount("clients sent away", 1);
                     assertEquals(-1, resting.getInputStream().read());
-                    assertTrue(young.call("GET", "health").startsWith("HTTP/1.1 200"));
-                    assertTrue(old.call("GET", "health").startsWith("HTTP/1.1 503"));
-                    assertTrue(young.tell("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
-                    assertTrue(young.tell("u1", "s-01", "done").startsWith("HTTP/1.1 204"));
-                    String answer = hear(client);
+                    assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+                    assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 503"));
+                    assertTrue(young.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+                    assertTrue(young.sendCallback("u1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                    String answer = receive(client);
                     assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
                     assertEquals(1, young.node.invariants().counted("call-backs for a neighbour"));
                     assertEquals(1, young.node.invariants().counted("call-backs for nothing"));
                 }
                 old.awaitCount("clients welcome", 1);
-                assertTrue(old.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
-                try (TestNode third = follower()) {
-                    tellList(third); // it found the old one by the name, which that took back
+                assertTrue(old.request(HEALTHZ).startsWith("HTTP/1.1 200"));
+                try (TestNode third = startSuccessor()) {
+                    sendList(third); // it found the old one by the name, which that took back
                     old.awaitCount("clients sent away", 2);
                 }
             }
@@ -135,15 +135,15 @@
 
     /** A name left by a process that was killed is taken over. */
     @Test
-    void leftOverNameIsTaken() throws Exception {
+    void staleSocketFileIsReplaced() throws Exception {
         try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             dead.bind(UnixDomainSocketAddress.of(folder.resolve("hw")));
         }
-        try (TestNode n = node()) {
-            n.settle();
-            assertTrue(n.call("GET", "health").startsWith("HTTP/1.1 200"));
-            try (TestNode young = follower()) {
-                tellList(young);
+        try (TestNode n = startProcess()) {
+            n.awaitLoop();
+            assertTrue(n.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+            try (TestNode young = startSuccessor()) {
+                sendList(young);
                 n.awaitCount("clients sent away", 1);
             }
         }
@@ -151,13 +151,13 @@
 
     /** A neighbour that hangs holds up a call-back for a moment, and one that talks nonsense is dropped. */
     @Test
-    void silentAndBrokenNeighboursAreSurvived() throws Exception {
-        try (TestNode n = node()) {
-            n.settle();
+    void silentAndInvalidPeersAreTolerated() throws Exception {
+        try (TestNode n = startProcess()) {
+            n.awaitLoop();
             UnixDomainSocketAddress name = UnixDomainSocketAddress.of(folder.resolve("hw"));
             try (SocketChannel silent = SocketChannel.open(name)) {
                 silent.write(ByteBuffer.wrap(new byte[] {0, 0}));
-                assertTrue(n.tell("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(n.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
             }
             Random random = new Random(7);
             for (int i = 0; i < 20; i++) {
@@ -167,14 +167,14 @@
                     noise.write(ByteBuffer.wrap(garbage));
                 }
             }
-            assertTrue(n.tell("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
-            assertTrue(n.ask(HEALTHZ).startsWith("HTTP/1.1 200"));
+            assertTrue(n.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+            assertTrue(n.request(HEALTHZ).startsWith("HTTP/1.1 200"));
         }
     }
 
     /** The platform's socket outlives a process that inherits it, and so does what that one logs. */
     @Test
-    void inheritedSocketIsHandedOn() throws Exception {
+    void inheritedSocketIsPassedToTheNextProcess() throws Exception {
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl, to hand on a socket");
         try (ServerSocket list = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
@@ -208,15 +208,15 @@
 
     /** Its list service never answers, so it serves by the list as last held once it has waited for that. */
     private static void awaitReady(int port) throws Exception {
-        while (!askAt(port).startsWith("HTTP/1.1 200")) {
+        while (!requestHealth(port).startsWith("HTTP/1.1 200")) {
             Thread.sleep(20);
         }
     }
 
-    private static String askAt(int port) throws IOException {
+    private static String requestHealth(int port) throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            say(s, HEALTHZ);
-            return hear(s);
+            send(s, HEALTHZ);
+            return receive(s);
         }
     }
 }
