--- a/node/src/test/java/hookweir/net/ConnectionPoolFixture.java
+++ b/node/src/test/java/hookweir/net/ConnectionPoolFixture.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.LongSupplier;
 
-/** A pool of links beside a door that the test opens, and all links that came up. */
+/** A worker connection pool, a listening socket that stands for a worker, and all connections that the pool has handed out. */
 final class ConnectionPoolFixture implements AutoCloseable {
     static final int JOB_COUNT = 20_000;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -32,8 +32,8 @@
     final BlockingQueue<OutboundConnection> acquired = new LinkedBlockingQueue<>();
     final OutboundConnection.Handler recorder = new IgnoringHandler() {
         @Override
-        public void connected(OutboundConnection link) {
-            acquired.add(link);
+        public void connected(OutboundConnection connection) {
+            acquired.add(connection);
         }
     };
 
@@ -52,7 +52,7 @@
         io.loop.post(() -> pool.acquire(pool.worker(1), recorder, WorkerConnectionPool.REUSE_SETTLED));
     }
 
-    /** Accepts whatever is dialled, until the door is closed. */
+    /** Accepts every connection until the listening socket is closed. */
     void acceptAll() {
         List<Socket> accepted = new ArrayList<>();
         try {
@@ -64,7 +64,11 @@
         }
     }
 
-    /** So many jobs are under way at a time, at workers of the seed's choice; each that ends begins another. The number of jobs. */
+    /**
+     * Runs {@link #JOB_COUNT} jobs, this many at a time, at randomly chosen workers; each job that ends starts the next.
+     *
+     * @return the number of jobs
+     */
     long runJobs(int workers, int concurrentJobs, Random random) throws Exception {
         CountDownLatch remaining = new CountDownLatch(JOB_COUNT);
         io.loop.post(() -> {
@@ -80,9 +84,9 @@
         WorkerEndpoint worker = pool.worker(1 + random.nextInt(workers));
         pool.acquire(worker, new IgnoringHandler() {
             @Override
-            public void connected(OutboundConnection link) {
+            public void connected(OutboundConnection connection) {
                 io.loop.post(() -> {
-                    pool.releaseWithReuseDelay(worker, link, true);
+                    pool.releaseWithReuseDelay(worker, connection, true);
                     remaining.countDown();
                     if (remaining.getCount() > 0) {
                         startJob(workers, random, remaining);
@@ -92,11 +96,11 @@
         }, WorkerConnectionPool.REUSE_SETTLED);
     }
 
-    /** Of two calls one waits for the link to settle, and the other dials. */
+    /** Starts two calls: one has to wait until the first connection may be reused, and the other has to open a new connection. */
     void assertOneCallWaitsForReuse(OutboundConnection first) throws Exception {
         acquire();
         acquire();
-        assertNotSame(first, acquired.take(), "the second, while the first waits");
+        assertNotSame(first, acquired.take(), "the second call connects while the first waits");
         io.clock = System::nanoTime;
         io.loop.post(() -> { });
         assertSame(first, acquired.take());
@@ -108,9 +112,9 @@
         workerListener.close();
     }
 
-    /** Loop, transport and dialer by themselves. */
+    /** A loop, a transport and a connector without a scheduler. */
     static final class IoFixture implements AutoCloseable {
-        /** How the clock goes. */
+        /** The loop's clock, in nanoseconds. */
         volatile LongSupplier clock = System::nanoTime;
         final Loop loop = new Loop(new Invariants(), () -> clock.getAsLong());
         final Transport transport = new Transport(new Invariants(), loop);
--- a/node/src/test/java/hookweir/net/DrainingWorkersTest.java
+++ b/node/src/test/java/hookweir/net/DrainingWorkersTest.java
@@ -22,16 +22,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** No byte of a job or a check is written first after a worker was announced as leaving, whatever the job waits for then. */
+/**
+ * The list service announces that a worker drains or is gone while a job or a probe for it is about to be sent. From then on no first
+ * byte of a job or probe may be written to this worker, whatever the job was waiting for.
+ */
 @Timeout(60)
 final class DrainingWorkersTest {
     private static final String DECLINED = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** How discovery says that a worker leaves. */
+    /** How the list service announces that a worker gets no more work. */
     private enum WorkerRemoval {
         DRAINING, DELETED, MISSING_FROM_WHOLE_LIST;
 
-        /** Tells it of this worker, whose entry is given as serving. */
+        /** Announces it for the worker of this entry, which is given as serving. */
         void send(Socket watch, String entry) throws IOException {
             if (this == MISSING_FROM_WHOLE_LIST) {
                 sendListLine(watch, "{'version':90,'full':true,'servers':[]}");
@@ -41,132 +44,132 @@
         }
     }
 
-    /** Its connection is up as the news comes, and both are seen in one round of I/O. */
+    /** The job's connection is established when the update comes, and the loop sees both in one round of I/O. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void jobIsNotSentWhenItsConnectionOpens(WorkerRemoval news) throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch(); Socket client = n.connect()) {
-            n.awaitLoop();
-            CountDownLatch gate = pauseAfterReading(n, () -> send(client, job("d1")));
-            news.send(watch, n.workerEntry("SERVING"));
+    void jobIsNotSentWhenItsConnectionOpens(WorkerRemoval removal) throws Exception {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch(); Socket client = scheduler.connect()) {
+            scheduler.awaitLoop();
+            CountDownLatch gate = pauseAfterReading(scheduler, () -> send(client, job("d1")));
+            removal.send(watch, scheduler.workerEntry("SERVING"));
             gate.countDown();
-            n.awaitCount("attempts CONNECT_FAILED", 1);
-            assertEquals("", receiveFromPending(n.workerListener, n));
+            scheduler.awaitCount("attempts CONNECT_FAILED", 1);
+            assertEquals("", receiveFromPending(scheduler.workerListener, scheduler));
         }
     }
 
-    /** A worker's kept link has yet to settle, and a second job waits for it; the clock stands. */
-    private static Socket queueJobForReuseDelay(TestNode n, Socket client) throws Exception {
-        n.freezeClock();
+    /** Leaves a worker with an idle connection that may not be reused yet and a second job that waits for it; the clock is frozen. */
+    private static Socket queueJobForReuseDelay(TestNode scheduler, Socket client) throws Exception {
+        scheduler.freezeClock();
         send(client, job("s1"));
-        Socket kept = n.workerListener.accept();
-        receive(kept);
-        send(kept, ACCEPTED);
-        n.sendCallback("s1", "s-01", "done");
+        Socket idleConnection = scheduler.workerListener.accept();
+        receive(idleConnection);
+        send(idleConnection, ACCEPTED);
+        scheduler.sendCallback("s1", "s-01", "done");
         receive(client);
         send(client, job("s2"));
-        n.awaitCount("requests", 2);
-        n.awaitIoRounds();
-        return kept;
+        scheduler.awaitCount("requests", 2);
+        scheduler.awaitIoRounds();
+        return idleConnection;
     }
 
-    /** The news comes while a job waits for a link that settles: it is not sent, and nobody dials the worker for it. */
+    /** The update comes while a job waits for the reuse delay of a connection: the job is not sent, and no new connection is opened for it. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void jobWaitingForReuseDelayIsNotSent(WorkerRemoval news) throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch(); Socket client = n.connect();
-                Socket kept = queueJobForReuseDelay(n, client)) {
-            news.send(watch, n.workerEntry("SERVING"));
-            n.awaitCount("list updates", 2);
-            n.resumeClock(40_000);
-            n.awaitCount("attempts CONNECT_FAILED", 1);
-            assertEquals(1, n.node.invariants().counted("egress dials"));
-            assertEquals("", PausedLoop.receiveUntilClosed(kept, n));
+    void jobWaitingForReuseDelayIsNotSent(WorkerRemoval removal) throws Exception {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch(); Socket client = scheduler.connect();
+                Socket idleConnection = queueJobForReuseDelay(scheduler, client)) {
+            removal.send(watch, scheduler.workerEntry("SERVING"));
+            scheduler.awaitCount("list updates", 2);
+            scheduler.resumeClock(40_000);
+            scheduler.awaitCount("attempts CONNECT_FAILED", 1);
+            assertEquals(1, scheduler.node.invariants().counted("egress dials"));
+            assertEquals("", PausedLoop.receiveUntilClosed(idleConnection, scheduler));
         }
     }
 
-    /** The news lies unread as the link settles, since the process had other things to do. */
+    /** The process was busy, and the update is still unread when the reuse delay ends: it has to be read before the job is sent. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void unreadListUpdateIsAppliedBeforeReuse(WorkerRemoval news) throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch(); Socket client = n.connect();
-                Socket kept = queueJobForReuseDelay(n, client)) {
-            CountDownLatch gate = n.blockLoop();
-            news.send(watch, n.workerEntry("SERVING"));
-            n.resumeClock(400_000);
+    void unreadListUpdateIsAppliedBeforeReuse(WorkerRemoval removal) throws Exception {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch(); Socket client = scheduler.connect();
+                Socket idleConnection = queueJobForReuseDelay(scheduler, client)) {
+            CountDownLatch gate = scheduler.blockLoop();
+            removal.send(watch, scheduler.workerEntry("SERVING"));
+            scheduler.resumeClock(400_000);
             gate.countDown();
-            n.awaitCount("list updates", 2);
-            n.awaitIoRounds();
-            assertEquals("", PausedLoop.receiveUntilClosed(kept, n));
+            scheduler.awaitCount("list updates", 2);
+            scheduler.awaitIoRounds();
+            assertEquals("", PausedLoop.receiveUntilClosed(idleConnection, scheduler));
         }
     }
 
-    /** A further attempt: its connection comes up, or is about to be dialled, as the news of the second worker comes. */
+    /** The connection of a retry at a second worker is established, or about to be opened, when the update for that worker comes. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void retryIsNotSent(WorkerRemoval news) throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode n = TestNode.withPushedList();
-                Socket watch = n.acceptListCallAndWatch(); Socket client = n.connect()) {
+    void retryIsNotSent(WorkerRemoval removal) throws Exception {
+        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode scheduler = TestNode.withPushedList();
+                Socket watch = scheduler.acceptListCallAndWatch(); Socket client = scheduler.connect()) {
             send(client, job("f1"));
-            try (Socket first = n.workerListener.accept()) {
+            try (Socket first = scheduler.workerListener.accept()) {
                 receive(first);
-                sendListLine(watch, "{'version':8,'full':false,'servers':[" + secondWorkerEntry(n, door, "SERVING") + "]}");
-                n.awaitCount("list updates", 2);
-                CountDownLatch gate = pauseAfterReading(n, () -> send(first, DECLINED));
-                news.send(watch, secondWorkerEntry(n, door, "SERVING"));
+                sendListLine(watch, "{'version':8,'full':false,'servers':[" + secondWorkerEntry(scheduler, listener, "SERVING") + "]}");
+                scheduler.awaitCount("list updates", 2);
+                CountDownLatch gate = pauseAfterReading(scheduler, () -> send(first, DECLINED));
+                removal.send(watch, secondWorkerEntry(scheduler, listener, "SERVING"));
                 gate.countDown();
-                n.awaitCount("attempts CONNECT_FAILED", 1);
-                assertEquals("", receiveFromPending(door, n));
+                scheduler.awaitCount("attempts CONNECT_FAILED", 1);
+                assertEquals("", receiveFromPending(listener, scheduler));
             }
         }
     }
 
-    /** A job that was declined is held, and is repeated nowhere while the only other worker leaves. */
+    /** A declined job stays pending and is not retried while the only other worker is draining. */
     @Test
     void declinedJobIsNotRetriedAtDrainingWorker() throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode n = TestNode.withPushedList();
-                Socket watch = n.acceptListCallAndWatch(); Socket client = n.connect()) {
-            sendListLine(watch, "{'version':8,'full':false,'servers':[" + secondWorkerEntry(n, door, "DRAINING") + "]}");
-            n.awaitCount("list updates", 2);
+        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode scheduler = TestNode.withPushedList();
+                Socket watch = scheduler.acceptListCallAndWatch(); Socket client = scheduler.connect()) {
+            sendListLine(watch, "{'version':8,'full':false,'servers':[" + secondWorkerEntry(scheduler, listener, "DRAINING") + "]}");
+            scheduler.awaitCount("list updates", 2);
             send(client, job("h1"));
-            try (Socket first = n.workerListener.accept()) {
+            try (Socket first = scheduler.workerListener.accept()) {
                 receive(first);
                 send(first, DECLINED);
-                n.awaitCount("attempts FULL", 1);
-                n.awaitLoop();
-                n.resumeClock(15_000_000);
+                scheduler.awaitCount("attempts FULL", 1);
+                scheduler.awaitLoop();
+                scheduler.resumeClock(15_000_000);
                 assertTrue(receive(client).startsWith("HTTP/1.1 429"));
-                assertEquals(1, n.node.invariants().counted("egress dials"));
+                assertEquals(1, scheduler.node.invariants().counted("egress dials"));
             }
         }
     }
 
-    /** Jobs that wait for a connection, as all that there may be are dialled: none of them is sent, and none dials. */
+    /** Jobs wait for a free connection while the maximum number is being opened: none of them is sent, and none opens a connection. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void jobsWaitingForFreeConnectionAreNotSent(WorkerRemoval news) throws Exception {
-        try (CrowdedConnections crowd = new CrowdedConnections()) {
-            news.send(crowd.node.watch, workerEntries(crowd.node, crowd.workerListener, "SERVING", CrowdedConnections.WORKERS));
-            crowd.gate.countDown();
-            crowd.node.awaitCount("attempts CONNECT_FAILED", CrowdedConnections.WORKERS);
-            assertEquals(crowd.connectCount, crowd.connectCount());
-            assertEquals("", receiveFromPending(crowd.workerListener, crowd.node));
+    void jobsWaitingForFreeConnectionAreNotSent(WorkerRemoval removal) throws Exception {
+        try (CrowdedConnections crowded = new CrowdedConnections()) {
+            removal.send(crowded.node.watch, workerEntries(crowded.node, crowded.workerListener, "SERVING", CrowdedConnections.WORKERS));
+            crowded.gate.countDown();
+            crowded.node.awaitCount("attempts CONNECT_FAILED", CrowdedConnections.WORKERS);
+            assertEquals(crowded.connectCount, crowded.connectCount());
+            assertEquals("", receiveFromPending(crowded.workerListener, crowded.node));
         }
     }
 
-    /** A check is for a worker that may get work: one whose connection comes up as the worker leaves is not made. */
+    /** Only workers that may get work are probed: a probe whose connection is established when the update comes is not sent. */
     @ParameterizedTest
     @EnumSource(WorkerRemoval.class)
-    void probeIsNotSentWhenItsConnectionOpens(WorkerRemoval news) throws Exception {
-        try (TestNode n = new TestNode("read_like", 20_000_000, true); Socket watch = n.watch; Socket client = n.connect()) {
-            n.awaitLoop();
-            CountDownLatch gate = pauseAfterReading(n, () -> send(client, job("c1")));
-            assertEquals(1, n.node.invariants().counted("probes"));
-            news.send(watch, n.workerEntry("SERVING"));
+    void probeIsNotSentWhenItsConnectionOpens(WorkerRemoval removal) throws Exception {
+        try (TestNode scheduler = new TestNode("read_like", 20_000_000, true); Socket watch = scheduler.watch; Socket client = scheduler.connect()) {
+            scheduler.awaitLoop();
+            CountDownLatch gate = pauseAfterReading(scheduler, () -> send(client, job("c1")));
+            assertEquals(1, scheduler.node.invariants().counted("probes"));
+            removal.send(watch, scheduler.workerEntry("SERVING"));
             gate.countDown();
-            n.awaitCount("list updates", 3);
-            n.awaitIoRounds();
-            assertEquals("", receiveFromPending(n.workerListener, n));
+            scheduler.awaitCount("list updates", 3);
+            scheduler.awaitIoRounds();
+            assertEquals("", receiveFromPending(scheduler.workerListener, scheduler));
         }
     }
 }
--- a/node/src/test/java/hookweir/net/DuplicateResponseTest.java
+++ b/node/src/test/java/hookweir/net/DuplicateResponseTest.java
@@ -12,14 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Second answers at a worker so busy that its links are used again before one would have come; the clock stands, so all are in doubt. */
+/**
+ * Duplicate responses of a worker that is so busy that its connections are reused before a duplicate would have arrived. The clock is
+ * frozen, so that every response may be a duplicate for the job before.
+ */
 @Timeout(30)
 final class DuplicateResponseTest {
     private static final String DECLINED = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     private static final long STEP_US = 1_000;
     private static final long DUPLICATE_WINDOW_US = 75_000;
 
-    /** A node whose worker's one link carried so many jobs that waits for its rest are used up, and a client for the next. */
+    /** A scheduler whose only worker connection carried so many jobs that no call waits for its reuse delay any more, and a client. */
     private static final class BusyConnection implements AutoCloseable {
         final TestNode scheduler = new TestNode("non_idempotent");
         final Socket client = scheduler.connect();
@@ -45,14 +48,14 @@
             reuseWaits = count("egress waits for rest");
         }
 
-        /** Sends a job, and returns once the node dealt with it. */
+        /** Sends a job and returns once the scheduler has handled it. */
         void sendJob(String id) throws Exception {
             send(client, job(id));
             scheduler.awaitCount("requests", ++jobCount);
             scheduler.awaitLoop();
         }
 
-        /** Takes and ends the job that comes on the link. */
+        /** Accepts and completes the job that arrives on the connection. */
         void completeJob(Socket socket, String id) throws Exception {
             assertTrue(receive(socket).contains("Req-Id: " + id + "\r\n"));
             send(socket, ACCEPTED);
@@ -61,7 +64,7 @@
             scheduler.awaitLoop();
         }
 
-        /** Sends a job over the link that has not rested. */
+        /** Sends a job over the connection before its reuse delay is over. */
         void sendJobWithoutReuseDelay(String id) throws Exception {
             sendJob(id);
             assertTrue(receive(connection).contains("Req-Id: " + id + "\r\n"));
@@ -69,7 +72,7 @@
             assertEquals(reuseWaits, count("egress waits for rest"));
         }
 
-        /** The worker answers its last job twice; the next job gets a link of its own, which rests after it. */
+        /** The worker responds twice to its last job; the next job gets a new connection, which is in its reuse delay afterwards. */
         Socket sendDuplicateResponse() throws Exception {
             send(connection, DECLINED);
             scheduler.awaitCount("egress answer without a call", 1);
@@ -91,7 +94,7 @@
         }
     }
 
-    /** A second answer to the job before, a refusal, came first: the job runs, and must not go out again. */
+    /** A duplicate decline for the job before arrives first: the new job runs and must not be sent again. */
     @Test
     void ambiguousDeclineDoesNotEndTheJob() throws Exception {
         try (BusyConnection busy = new BusyConnection()) {
@@ -101,13 +104,13 @@
             assertEquals(0, busy.count("attempts FULL"));
             send(busy.connection, ACCEPTED);
             busy.scheduler.awaitCount("attempts RESET", 1);
-            assertEquals(0, busy.count("attempts FULL"), "nobody knows which of the two answers was whose");
-            assertEquals("", receive(busy.connection), "the link's end");
+            assertEquals(0, busy.count("attempts FULL"), "it is unknown which response belongs to which job");
+            assertEquals("", receive(busy.connection), "the connection is closed");
             assertEquals(1, busy.count("egress dials"));
         }
     }
 
-    /** The call-back shows that the worker has the job, whatever the answer said. */
+    /** The callback shows that the worker has the job, whatever the response said. */
     @Test
     void callbackShowsThatDeclineWasForEarlierJob() throws Exception {
         try (BusyConnection busy = new BusyConnection()) {
@@ -121,7 +124,7 @@
         }
     }
 
-    /** No second answer came in the time in which one would: the refusal is the job's. */
+    /** No second response arrives within the duplicate window: the decline belongs to the job. */
     @Test
     void declineCountsAfterDuplicateWindow() throws Exception {
         try (BusyConnection busy = new BusyConnection()) {
@@ -135,7 +138,7 @@
         }
     }
 
-    /** An earlier job's second 202 said that this one is taken, and its own answer is a refusal: it may not be there. */
+    /** A duplicate 202 for the job before was taken for this job's, and its own response is a decline: the worker may not have the job. */
     @Test
     void ambiguous202IsInDoubtAfterASecondResponse() throws Exception {
         try (BusyConnection busy = new BusyConnection()) {
@@ -149,7 +152,7 @@
         }
     }
 
-    /** The same with a call-back between them: the worker has the job. */
+    /** The same with a callback between the two responses: the worker has the job. */
     @Test
     void callbackConfirmsAmbiguous202() throws Exception {
         try (BusyConnection busy = new BusyConnection()) {
@@ -164,7 +167,7 @@
         }
     }
 
-    /** After one second answer the worker's links rest, however busy it is, and calls wait for them in place of dials. */
+    /** After one duplicate response all connections of the worker keep the reuse delay, even under load, and calls wait instead of connecting. */
     @Test
     void connectionsWaitForReuseAfterDuplicateResponse() throws Exception {
         try (BusyConnection busy = new BusyConnection(); Socket next = busy.sendDuplicateResponse()) {
@@ -177,12 +180,11 @@
         }
     }
 
-    /** The worker's end of it. */
     private static void closeConnection(Socket connection) throws IOException {
         connection.close();
     }
 
-    /** The worker closes the link that a call waits for: one dial, one attempt. */
+    /** The worker closes the connection that a call waits for: one new connection and one attempt follow. */
     @Test
     void closedConnectionIsReplacedForWaitingCall() throws Exception {
         try (BusyConnection busy = new BusyConnection(); Socket next = busy.sendDuplicateResponse()) {
@@ -197,7 +199,7 @@
         }
     }
 
-    /** A client that leaves while its job waits for a link to rest: looked at again, and nothing goes out. */
+    /** The client disconnects while its job waits for the reuse delay: this is checked after the wait, and the job is not sent. */
     @Test
     void jobOfDisconnectedClientIsNotSentAfterReuseDelay() throws Exception {
         try (BusyConnection busy = new BusyConnection(); Socket next = busy.sendDuplicateResponse(); Socket client = busy.scheduler.connect()) {
@@ -209,7 +211,7 @@
                 busy.scheduler.awaitLoop();
             }
             send(client, job("r9"));
-            assertTrue(receive(next).contains("Req-Id: r9\r\n"), "the first that it carries after its rest");
+            assertTrue(receive(next).contains("Req-Id: r9\r\n"), "the first job on it after the reuse delay");
             assertEquals(2, busy.count("egress dials"));
         }
     }
--- a/node/src/test/java/hookweir/net/FaultyWorkersTest.java
+++ b/node/src/test/java/hookweir/net/FaultyWorkersTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Fleets that are short of something, or say what can't be: jobs go on, and nothing is forgotten by mistake. */
+/** Faulty worker lists and workers that limit or reset connections: jobs go on, and no worker state is lost by mistake. */
 @Timeout(60)
 final class FaultyWorkersTest {
 
@@ -25,45 +25,48 @@
         sendListLine(watch, "{'version':" + version + ",'full':false,'servers':[" + entries + "]}");
     }
 
-    /** What is told holds, but whether that was all is doubtful: the whole list is asked for, and counts from then on. */
+    /** An update with a lower version is applied, but others may have been missed: the whole list is requested and holds from then on. */
     @Test
     void versionRegressionTriggersWholeListCall() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch()) {
-            n.freezeClock();
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch()) {
+            scheduler.freezeClock();
             sendChange(watch, 9, "");
-            sendChange(watch, 4, n.workerEntry("DRAINING"));
-            n.awaitCount("list updates", 3);
-            try (Socket call = n.listService.accept(); Socket client = n.connect()) {
+            sendChange(watch, 4, scheduler.workerEntry("DRAINING"));
+            scheduler.awaitCount("list updates", 3);
+            try (Socket call = scheduler.listService.accept(); Socket client = scheduler.connect()) {
                 assertTrue(receive(call).startsWith("GET /v1/servers HTTP/1.1\r\n"));
                 send(client, TestNode.post("/api", "Req-Id: b1\r\nReq-Kind: render\r\nReq-Deadline-Ms: 50\r\n", "work"));
-                n.awaitIoRounds();
-                n.advanceFrozenClock(60_000);
-                String answer = receive(client);
-                assertTrue(answer.startsWith("HTTP/1.1 429"), "its only worker drains, by an old version or not: " + answer);
-                n.sendWholeList(call, 5, "SERVING");
-                n.awaitCount("list updates", 4);
+                scheduler.awaitIoRounds();
+                scheduler.advanceFrozenClock(60_000);
+                String response = receive(client);
+                assertTrue(response.startsWith("HTTP/1.1 429"), "the only worker is draining, even if an old version says so: " + response);
+                scheduler.sendWholeList(call, 5, "SERVING");
+                scheduler.awaitCount("list updates", 4);
             }
-            n.acceptWatch(5).close();
-            n.resumeClock(0);
-            assertEquals(1, n.node.invariants().counted("discovery version went back"));
-            new AutoWorker(n, true);
-            assertTrue(n.request(job("b2")).startsWith("HTTP/1.1 200"));
+            scheduler.acceptWatch(5).close();
+            scheduler.resumeClock(0);
+            assertEquals(1, scheduler.node.invariants().counted("discovery version went back"));
+            new AutoWorker(scheduler, true);
+            assertTrue(scheduler.request(job("b2")).startsWith("HTTP/1.1 200"));
         }
     }
 
-    /** It holds two connections and ends further ones unread: jobs in turn share them, and a crowd loses nobody. */
+    /**
+     * The worker keeps two connections and closes further ones without reading them. Consecutive jobs have to share a connection, and
+     * of many jobs at once each has to get a response.
+     */
     @Test
     void workerWithTwoConnectionsServesJobsInTurn() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like"); Socket first = n.connect()) {
-            new AutoWorker(n, n.workerListener, "s-01", true, 2);
+        try (TestNode scheduler = new TestNode("read_like"); Socket first = scheduler.connect()) {
+            new AutoWorker(scheduler, scheduler.workerListener, "s-01", true, 2);
             for (int i = 0; i < 10; i++) {
                 send(first, job("t" + i));
                 assertTrue(receive(first).startsWith("HTTP/1.1 200"), "job " + i);
             }
-            assertEquals(1, n.node.invariants().counted("egress dials"));
+            assertEquals(1, scheduler.node.invariants().counted("egress dials"));
             for (int i = 0; i < 8; i++) {
-                clients.add(n.connect());
+                clients.add(scheduler.connect());
                 send(clients.get(i), job("c" + i));
             }
             int served = 0;
@@ -72,10 +75,10 @@
                 assertTrue(List.of("200", "429").contains(status), status);
                 served += status.equals("200") ? 1 : 0;
             }
-            assertTrue(served >= 2, "served of a crowd of eight: " + served);
+            assertTrue(served >= 2, "served of eight jobs at once: " + served);
             String again = "";
-            for (int i = 0; !again.startsWith("HTTP/1.1 200"); i++) { // set aside for its refusals for a while
-                again = n.request(job("a" + i));
+            for (int i = 0; !again.startsWith("HTTP/1.1 200"); i++) { // the worker is excluded temporarily because of its rejections
+                again = scheduler.request(job("a" + i));
             }
         } finally {
             for (Socket c : clients) {
@@ -85,39 +88,39 @@
     }
 
     /**
-     * Each machine of a zone falls silent with its links open, and resets them when it is back: a safe job goes on elsewhere
-     * in time, one that must not run twice is answered once, as failed, when its fate is known.
+     * A machine becomes silent with its connections open and resets them when it is back. The read-like jobs on them have to be
+     * retried at another worker in time. (A job that must not run twice gets one error response once its outcome is known.)
      */
     @Test
     void resetAfterSilentZoneLosesNoSafeJob() throws Exception {
-        try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode n = TestNode.withPushedList()) {
-            other.setSoTimeout(20_000);
-            Socket watch = n.acceptListCallAndWatch();
+        try (ServerSocket secondListener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); TestNode scheduler = TestNode.withPushedList()) {
+            secondListener.setSoTimeout(20_000);
+            Socket watch = scheduler.acceptListCallAndWatch();
             List<Socket> silent = new ArrayList<>();
-            try (Socket client = n.connect(); Socket second = n.connect()) {
+            try (Socket client = scheduler.connect(); Socket second = scheduler.connect()) {
                 send(client, job("z1"));
-                silent.add(n.workerListener.accept());
+                silent.add(scheduler.workerListener.accept());
                 receive(silent.get(0));
                 send(silent.get(0), ACCEPTED);
-                n.sendCallback("z1", "s-01", "done");
+                scheduler.sendCallback("z1", "s-01", "done");
                 receive(client);
-                // Now its link is kept, and silent: what is written to it is never answered.
+                // The connection is now idle and will be reused; what is written to it gets no response.
                 send(client, job("z2"));
                 receive(silent.get(0));
                 send(second, job("z3"));
-                silent.add(n.workerListener.accept());
+                silent.add(scheduler.workerListener.accept());
                 receive(silent.get(1));
-                sendChange(watch, 8, n.workerEntry("DELETED") + ","
-                    + n.workerEntry("SERVING").replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + other.getLocalPort() + "','zone"));
-                n.awaitCount("list updates", 2);
+                sendChange(watch, 8, scheduler.workerEntry("DELETED") + ","
+                    + scheduler.workerEntry("SERVING").replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + secondListener.getLocalPort() + "','zone"));
+                scheduler.awaitCount("list updates", 2);
                 for (Socket s : silent) {
-                    s.setSoLinger(true, 0); // back: its machine knows nothing of these links
+                    s.setSoLinger(true, 0); // the machine is back and does not know these connections
                     s.close();
                 }
-                new AutoWorker(n, other, "s-02", true, Integer.MAX_VALUE);
+                new AutoWorker(scheduler, secondListener, "s-02", true, Integer.MAX_VALUE);
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
                 assertTrue(receive(second).startsWith("HTTP/1.1 200"));
-                assertEquals(2, n.node.invariants().counted("attempts RESET"));
+                assertEquals(2, scheduler.node.invariants().counted("attempts RESET"));
             }
             watch.close();
         }
--- a/node/src/test/java/hookweir/net/LoopTest.java
+++ b/node/src/test/java/hookweir/net/LoopTest.java
@@ -6,21 +6,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The loop's turn, between two rounds of I/O, played by hand. */
+/** The loop's turn between two rounds of I/O, called directly by the test. */
 class LoopTest {
     private final Loop loop = new Loop(new Invariants());
     private int tasks;
     private int timers;
 
-    /** Runs on this thread from here on, as on the selector's. */
+    /** Makes this thread the loop's thread, as the selector thread is otherwise. */
     @BeforeEach
     void startLoop() {
-        loop.stop(); // so that run returns
+        loop.stop(); // so that run() returns at once
         loop.run();
         loop.turn();
     }
 
-    /** A round of I/O that posts much, and whose tasks post more, holds up no timer: else deadlines pass unseen. */
+    /** Many posted tasks that post further tasks must not delay due timers, or deadlines would pass unnoticed. */
     @Test
     void dueTimersRunDespiteManyTasks() {
         Runnable again = new Runnable() {
@@ -38,14 +38,14 @@
         }
         long until = loop.nowUs() + 5000;
         while (loop.nowUs() < until) {
-            Thread.onSpinWait(); // the wheel turns by the millisecond
+            Thread.onSpinWait(); // the timer wheel has a resolution of 1 ms
         }
         loop.turn();
         assertEquals(50, timers);
-        assertTrue(tasks >= 2000, "what was posted before the turn is done in it: " + tasks);
+        assertTrue(tasks >= 2000, "tasks posted before the turn run in it: " + tasks);
     }
 
-    /** Nor do due timers, however many, hold up what was posted. */
+    /** Many due timers that schedule further timers must not delay posted tasks. */
     @Test
     void postedTasksRunDespiteManyDueTimers() {
         Runnable again = new Runnable() {
--- a/node/src/test/java/hookweir/net/ParserPropertyTest.java
+++ b/node/src/test/java/hookweir/net/ParserPropertyTest.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Random cuts of valid messages and random garbage against every parser, from fixed seeds. */
+/** Feeds randomly split valid messages and random garbage to every parser, from fixed seeds. */
 class ParserPropertyTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String ENTRY = "{\"id\":\"s-5be2a07c\",\"addr\":\"10.1.0.18:8080\",\"zone\":\"a\",\"kind\":\"m2\","
@@ -43,13 +43,13 @@
     /** A copy of the text with some bytes overwritten. */
     private static byte[] corrupted(String text, List<Integer> noise) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int n : noise) {
-            bytes[(n >>> 8) % bytes.length] = (byte) n;
+        for (int overwrite : noise) {
+            bytes[(overwrite >>> 8) % bytes.length] = (byte) overwrite;
         }
         return bytes;
     }
 
-    /** Cuts a message in pieces, each of the length that the next number says. */
+    /** Splits a message into chunks of these lengths; the rest is the last chunk. */
     private static List<byte[]> chunks(byte[] whole, List<Integer> lengths) {
         List<byte[]> pieces = new ArrayList<>();
         int from = 0;
@@ -70,7 +70,7 @@
         assertEquals(List.of(LIST, "", "too long", ENTRY), got);
     }
 
-    /** Lists may come indented; one that was cut costs itself and not the next. */
+    /** Lists may be indented, and a truncated one must not spoil the next. */
     @Property(seed = "13", tries = 300)
     void indentedAndTruncatedObjectsAreSeparated(@ForAll @Size(max = 40) List<@IntRange(min = 1, max = 60) Integer> lengths) throws Exception {
         List<String> got = new ArrayList<>();
@@ -120,7 +120,7 @@
         assertEquals(2, r.slots);
     }
 
-    /** Owners by the names in the settings; one that is unknown or missing has no share, and its job is taken all the same. */
+    /** Owners are mapped by their names in the settings; a job with an unknown or missing owner has no tenant but is accepted. */
     @Example
     void ownersMapToTenantsOfTheSettings() throws Exception {
         RequestParser shared = new RequestParser(Map.of("render", 0), List.of(new Contract.RequestClass()), Map.of("acme_east", 0, "b", 1));
@@ -129,7 +129,7 @@
         assertEquals(RequestParser.NO_TENANT, parseTenant(shared, "c"));
         assertEquals(RequestParser.NO_TENANT, parseTenant(shared, ""));
         assertEquals(RequestParser.NO_TENANT, parseTenant(shared, null));
-        assertEquals(0, parseTenant(requests, "b"), "no tenants in the settings: whatever clients say");
+        assertEquals(0, parseTenant(requests, "b"), "no tenants in the settings, so that the header is ignored");
     }
 
     private static int parseTenant(RequestParser parser, String owner) throws RequestParser.BadRequestException {
@@ -146,8 +146,8 @@
 
     @Property(seed = "16", tries = 500)
     void corruptedCallbacksAndLoadReportsDoNotThrow(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 65_535) Integer> noise) {
-        Callback told = Callback.parse(corrupted("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
-        assertTrue(told == null || told.id() != null && told.workerId() != null && told.state() != null);
+        Callback callback = Callback.parse(corrupted("{\"id\":\"9b1f\",\"from\":\"s-0b\",\"state\":\"running\",\"share\":0.4}", noise));
+        assertTrue(callback == null || callback.id() != null && callback.workerId() != null && callback.state() != null);
         for (String text : List.of("x0=2,utilization=0.61", "{\"x0\":2,\"utilization\":0.61}")) {
             assertEquals(0.61, loads.parseBody(text.getBytes(StandardCharsets.UTF_8)).utilization);
             Contract.Report r = loads.parseBody(corrupted(text, noise));
@@ -171,17 +171,17 @@
 
     @Property(seed = "18", tries = 12)
     void requestsAndResponsesMaySplitAnywhere(@ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 40) Integer> lengths) throws IOException {
-        try (TestNode n = new TestNode("read_like"); Socket client = n.connect()) {
+        try (TestNode scheduler = new TestNode("read_like"); Socket client = scheduler.connect()) {
             for (byte[] piece : chunks(TestNode.job("c1").getBytes(StandardCharsets.US_ASCII), lengths)) {
                 client.getOutputStream().write(piece);
             }
-            try (Socket w = n.workerListener.accept()) {
-                assertTrue(TestNode.receive(w).endsWith("\r\n\r\nwork"));
-                String taken = "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-                for (byte[] piece : chunks(taken.getBytes(StandardCharsets.US_ASCII), lengths)) {
-                    w.getOutputStream().write(piece);
+            try (Socket worker = scheduler.workerListener.accept()) {
+                assertTrue(TestNode.receive(worker).endsWith("\r\n\r\nwork"));
+                String accepted = "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+                for (byte[] piece : chunks(accepted.getBytes(StandardCharsets.US_ASCII), lengths)) {
+                    worker.getOutputStream().write(piece);
                 }
-                assertTrue(n.sendCallback("c1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(scheduler.sendCallback("c1", "s-01", "done").startsWith("HTTP/1.1 204"));
                 assertTrue(TestNode.receive(client).startsWith("HTTP/1.1 200"));
             }
         }
@@ -190,21 +190,21 @@
     @Property(seed = "19", tries = 40)
     void garbageInputDoesNotAffectOtherClients(@ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 255) Integer> garbage,
             @ForAll @Size(min = 1, max = 6) List<@IntRange(min = 0, max = 65_535) Integer> noise) throws IOException {
-        try (TestNode n = new TestNode("read_like")) {
+        try (TestNode scheduler = new TestNode("read_like")) {
             byte[] raw = new byte[garbage.size()];
             for (int i = 0; i < raw.length; i++) {
                 raw[i] = garbage.get(i).byteValue();
             }
             for (byte[] bytes : List.of(raw, corrupted(TestNode.job("d1"), noise))) {
-                try (Socket s = n.connect()) {
+                try (Socket s = scheduler.connect()) {
                     s.getOutputStream().write(bytes);
                     s.shutdownOutput();
                     TestNode.receive(s);
                 } catch (IOException e) {
-                    assertNotNull(e); // a reset is a fair answer to garbage
+                    assertNotNull(e); // a reset is a valid response to garbage
                 }
             }
-            assertTrue(n.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
+            assertTrue(scheduler.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"));
         }
     }
 }
--- a/node/src/test/java/hookweir/net/PausedLoop.java
+++ b/node/src/test/java/hookweir/net/PausedLoop.java
@@ -9,28 +9,28 @@
 import java.net.SocketTimeoutException;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds the loop of a {@link TestNode} between two rounds of I/O, so that a test can order what it finds in the next one. */
+/** Pauses the loop of a {@link TestNode} between two rounds of I/O, so that a test can choose what the next round finds. */
 final class PausedLoop {
     private PausedLoop() {
     }
 
-    /** Something that a test does by a socket. */
+    /** An action of a test on a socket. */
     interface SocketAction {
         void run() throws IOException;
     }
 
     /**
-     * Lets the loop read what the step sent, all in one round, and holds it before the next one: connections that are dialled
-     * for it come up unseen.
+     * Lets the loop read everything that the action sent in one round and pauses it before the next one, so that it does not
+     * yet see that the connections it started in this round are established.
      *
-     * @return to be counted down, so that the loop goes on
+     * @return latch that resumes the loop when it is counted down
      */
-    static CountDownLatch pauseAfterReading(TestNode node, SocketAction action) throws Exception {
-        CountDownLatch loopGate = node.blockLoop();
+    static CountDownLatch pauseAfterReading(TestNode scheduler, SocketAction action) throws Exception {
+        CountDownLatch loopGate = scheduler.blockLoop();
         action.run();
         CountDownLatch entered = new CountDownLatch(1);
         CountDownLatch gate = new CountDownLatch(1);
-        node.node.afterIoRound(() -> {
+        scheduler.node.afterIoRound(() -> {
             entered.countDown();
             try {
                 gate.await();
@@ -43,15 +43,15 @@
         return gate;
     }
 
-    /** All that came over connections that nobody has accepted yet; the node is ended for that. */
-    static String receiveFromPending(ServerSocket listener, TestNode node) throws IOException {
-        node.node.stop();
+    /** Stops the scheduler and returns everything that it sent on connections that the test has not accepted yet. */
+    static String receiveFromPending(ServerSocket listener, TestNode scheduler) throws IOException {
+        scheduler.node.stop();
         StringBuilder all = new StringBuilder();
         listener.setSoTimeout(100);
         try {
             while (true) {
                 try (Socket socket = listener.accept()) {
-                    all.append(receiveUntilClosed(socket, node));
+                    all.append(receiveUntilClosed(socket, scheduler));
                 }
             }
         } catch (SocketTimeoutException none) {
@@ -59,9 +59,9 @@
         }
     }
 
-    /** All that comes over the connection until its end; the node is ended for that. */
-    static String receiveUntilClosed(Socket socket, TestNode node) throws IOException {
-        node.node.stop();
+    /** Stops the scheduler and returns everything that arrives on the connection until it is closed. */
+    static String receiveUntilClosed(Socket socket, TestNode scheduler) throws IOException {
+        scheduler.node.stop();
         StringBuilder all = new StringBuilder();
         try {
             for (String message = receive(socket); !message.isEmpty(); message = receive(socket)) {
@@ -73,16 +73,16 @@
         return all.toString();
     }
 
-    /** The entry of a second worker, which listens at that door. */
-    static String secondWorkerEntry(TestNode node, ServerSocket listener, String state) {
-        return node.workerEntry(state).replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + listener.getLocalPort() + "','zone");
+    /** The list entry of a second worker, which listens on this socket. */
+    static String secondWorkerEntry(TestNode scheduler, ServerSocket listener, String state) {
+        return scheduler.workerEntry(state).replace("s-01", "s-02").replaceAll(":\\d+','zone", ":" + listener.getLocalPort() + "','zone");
     }
 
-    /** Entries of so many workers, all behind that door: none has room for many jobs. */
-    static String workerEntries(TestNode node, ServerSocket listener, String state, int count) {
+    /** The list entries of this many workers, all on this socket, so that jobs spread over them: none has capacity for many. */
+    static String workerEntries(TestNode scheduler, ServerSocket listener, String state, int count) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(i == 0 ? "" : ",").append(secondWorkerEntry(node, listener, state).replace("s-02", "s-1" + i));
+            all.append(i == 0 ? "" : ",").append(secondWorkerEntry(scheduler, listener, state).replace("s-02", "s-1" + i));
         }
         return all.toString();
     }
--- a/node/src/test/java/hookweir/net/ResourceLimitsTest.java
+++ b/node/src/test/java/hookweir/net/ResourceLimitsTest.java
@@ -17,30 +17,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Load that would take more than there may be: the bound holds, and what was taken on goes on. */
+/** Load beyond the configured limits: the limits hold, and accepted jobs continue. */
 @Timeout(60)
 class ResourceLimitsTest {
-    /** Clients have all the connections that they may, and use none: a newcomer's job is worth more than one that rests. */
+    /** Idle clients hold all connections that clients may have: the longest idle one has to be closed for a new client's job. */
     @Test
     void idleClientsAreDisconnectedForANewJob() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':64")) {
-            new AutoWorker(n, true);
-            for (int i = 0; i < 9; i++) { // three quarters of four fifths of the 16 that are not the process's own
-                clients.add(n.connect());
+        try (TestNode scheduler = new TestNode("read_like", 20_000_000, "'sockets':64")) {
+            new AutoWorker(scheduler, true);
+            for (int i = 0; i < 9; i++) { // 3/4 of 4/5 of the 16 descriptors that the process does not need itself
+                clients.add(scheduler.connect());
                 send(clients.get(i), job("r" + i));
                 assertTrue(receive(clients.get(i)).startsWith("HTTP/1.1 200"));
             }
-            Thread.sleep(1100); // one used within the last second may have its next request on the way
+            Thread.sleep(1100); // a connection used within the last second may have its next request on the way
             for (int i = 0; i < 3; i++) {
-                Socket more = n.connect();
+                Socket more = scheduler.connect();
                 clients.add(more);
                 send(more, job("m" + i));
-                String answer = receive(more);
-                assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
+                String response = receive(more);
+                assertTrue(response.startsWith("HTTP/1.1 200"), response);
             }
-            assertEquals(-1, clients.get(0).getInputStream().read()); // the longest unused one went
-            assertEquals(0, n.node.invariants().counted("ingress turned away for room"));
+            assertEquals(-1, clients.get(0).getInputStream().read()); // the longest idle connection was closed
+            assertEquals(0, scheduler.node.invariants().counted("ingress turned away for room"));
         } finally {
             for (Socket c : clients) {
                 c.close();
@@ -48,40 +48,40 @@
         }
     }
 
-    /** A file that allows fewer jobs than are held: those held go on, nobody new is taken until there is room again. */
+    /** A reloaded configuration allows fewer jobs than are pending: these go on, and new ones are rejected until the count is below the limit. */
     @Test
     void loweredJobLimitKeepsPendingJobs() throws Exception {
         List<Socket> clients = new ArrayList<>();
         Path file = Files.createTempFile("hookweir", ".json");
-        try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':32")) {
-            AutoWorker worker = new AutoWorker(n, false);
+        try (TestNode scheduler = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':32")) {
+            AutoWorker worker = new AutoWorker(scheduler, false);
             for (int i = 0; i < 24; i++) {
-                clients.add(n.connect());
+                clients.add(scheduler.connect());
                 send(clients.get(i), job("k" + i));
             }
-            n.awaitCount("requests", 24);
-            Files.writeString(file, n.config("127.0.0.1:" + n.listService.getLocalPort()).replace("\"held_jobs\":32", "\"held_jobs\":16"));
-            n.node.reload(Map.of("RELAY_CONFIG", file.toString()));
-            n.awaitCount("reloads", 1);
-            assertTrue(n.request(job("more")).startsWith("HTTP/1.1 429"));
+            scheduler.awaitCount("requests", 24);
+            Files.writeString(file, scheduler.config("127.0.0.1:" + scheduler.listService.getLocalPort()).replace("\"held_jobs\":32", "\"held_jobs\":16"));
+            scheduler.node.reload(Map.of("RELAY_CONFIG", file.toString()));
+            scheduler.awaitCount("reloads", 1);
+            assertTrue(scheduler.request(job("more")).startsWith("HTTP/1.1 429"));
             while (worker.ids.isEmpty()) {
                 Thread.sleep(2);
             }
             String id = worker.ids.peek();
-            n.sendCallback(id, "s-01", "done");
+            scheduler.sendCallback(id, "s-01", "done");
             assertTrue(receive(clients.get(Integer.parseInt(id.substring(1)))).startsWith("HTTP/1.1 200"), id);
-            assertTrue(n.request(job("still")).startsWith("HTTP/1.1 429")); // 23 are held, 16 may be
+            assertTrue(scheduler.request(job("still")).startsWith("HTTP/1.1 429")); // 23 jobs are pending, 16 are allowed
             for (int i = 0; i < 24; i++) {
                 if (i != Integer.parseInt(id.substring(1)) && clients.stream().filter(Socket::isClosed).count() < 8) {
                     clients.get(i).close();
                 }
             }
-            n.awaitCount("clients gone", 8);
-            try (Socket next = n.connect()) {
+            scheduler.awaitCount("clients gone", 8);
+            try (Socket next = scheduler.connect()) {
                 send(next, job("next"));
-                n.awaitCount("requests", 25);
+                scheduler.awaitCount("requests", 25);
             }
-            assertEquals(0, n.node.invariants().counted("BROKEN event failed"));
+            assertEquals(0, scheduler.node.invariants().counted("BROKEN event failed"));
         } finally {
             Files.delete(file);
             for (Socket c : clients) {
@@ -90,51 +90,51 @@
         }
     }
 
-    /** Clients that come again at once at each refusal: each request has one answer, and the jobs held end as ever. */
+    /** Clients that retry at once after each rejection: each request gets one response, and the pending jobs still complete. */
     @Test
     void retryStormDoesNotBlockPendingJobs() throws Exception {
-        int storm = 20;
-        int tries = 200;
+        int stormClients = 20;
+        int requestsPerClient = 200;
         List<Socket> clients = new ArrayList<>();
-        try (TestNode n = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':16")) {
-            AutoWorker worker = new AutoWorker(n, false);
+        try (TestNode scheduler = new TestNode("read_like", 20_000_000, "'sockets':256,'held_jobs':16")) {
+            AutoWorker worker = new AutoWorker(scheduler, false);
             for (int i = 0; i < 16; i++) {
-                clients.add(n.connect());
+                clients.add(scheduler.connect());
                 send(clients.get(i), job("h" + i));
             }
-            n.awaitCount("requests", 16);
-            List<Thread> stormers = new ArrayList<>();
-            List<String> odd = new java.util.concurrent.CopyOnWriteArrayList<>();
-            for (int s = 0; s < storm; s++) {
+            scheduler.awaitCount("requests", 16);
+            List<Thread> threads = new ArrayList<>();
+            List<String> unexpected = new java.util.concurrent.CopyOnWriteArrayList<>();
+            for (int s = 0; s < stormClients; s++) {
                 String name = "s" + s + "-";
-                Thread t = new Thread(() -> {
-                    try (Socket c = n.connect()) {
-                        for (int i = 0; i < tries; i++) {
+                Thread thread = new Thread(() -> {
+                    try (Socket c = scheduler.connect()) {
+                        for (int i = 0; i < requestsPerClient; i++) {
                             send(c, job(name + i));
-                            String answer = receive(c);
-                            if (!answer.startsWith("HTTP/1.1 429")) {
-                                odd.add(answer);
+                            String response = receive(c);
+                            if (!response.startsWith("HTTP/1.1 429")) {
+                                unexpected.add(response);
                             }
                         }
                     } catch (IOException e) {
-                        odd.add(e.toString());
+                        unexpected.add(e.toString());
                     }
                 });
-                stormers.add(t);
-                t.start();
+                threads.add(thread);
+                thread.start();
             }
-            for (Thread t : stormers) {
-                t.join();
+            for (Thread thread : threads) {
+                thread.join();
             }
-            assertEquals(List.of(), odd);
-            assertEquals((long) storm * tries, n.node.invariants().counted("requests refused for room"));
+            assertEquals(List.of(), unexpected);
+            assertEquals((long) stormClients * requestsPerClient, scheduler.node.invariants().counted("requests refused for room"));
             while (worker.ids.isEmpty()) {
                 Thread.sleep(2);
             }
             String held = worker.ids.peek();
-            n.sendCallback(held, "s-01", "done");
+            scheduler.sendCallback(held, "s-01", "done");
             assertTrue(receive(clients.get(Integer.parseInt(held.substring(1)))).startsWith("HTTP/1.1 200"));
-            assertFalse(n.adminCall("GET", "stats").contains("svc_held_jobs 17"));
+            assertFalse(scheduler.adminCall("GET", "stats").contains("svc_held_jobs 17"));
         } finally {
             for (Socket c : clients) {
                 c.close();
--- a/node/src/test/java/hookweir/net/RestartTest.java
+++ b/node/src/test/java/hookweir/net/RestartTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A scheduler stopped while a worker holds a job that must never run twice, then a new life of it: the brief
- * promises no answer for what the old life took (it is lost), and the new life must not make more of it than that:
- * it sends the job nowhere again, and a late call-back for it is taken, so that the worker stops trying.
+ * A scheduler stops while a worker runs a job that must never run twice, and is started again. The job counts as lost: its client gets
+ * no response. The new process must not send the job again, and it has to accept a late callback for it, so that the worker stops
+ * retrying the callback.
  */
 final class RestartTest {
     @Test
@@ -23,20 +23,20 @@
         try (TestNode old = new TestNode("non_idempotent")) {
             client = old.connect();
             send(client, job("k1"));
-            try (Socket w = old.workerListener.accept()) {
-                assertTrue(receive(w).startsWith("POST /api"));
-                send(w, ACCEPTED);
+            try (Socket worker = old.workerListener.accept()) {
+                assertTrue(receive(worker).startsWith("POST /api"));
+                send(worker, ACCEPTED);
                 old.awaitCount("egress dials", 1);
             }
         }
-        // The old life ended with the job held: its client hears no answer, only the end of its connection.
-        assertTrue(receive(client).isEmpty(), "an answer for what the old life held");
+        // The old process ended with the job pending: its client gets no response, only the end of the connection.
+        assertTrue(receive(client).isEmpty(), "a response for a job of the old process");
         client.close();
-        try (TestNode again = new TestNode("non_idempotent")) {
-            assertTrue(again.sendCallback("k1", "s-01", "done").startsWith("HTTP/1.1 2"), "the late call-back is taken");
-            again.awaitCount("call-backs for nothing", 1);
-            again.workerListener.setSoTimeout(300);
-            assertThrows(SocketTimeoutException.class, () -> again.workerListener.accept().close(), "the new life sent work");
+        try (TestNode restarted = new TestNode("non_idempotent")) {
+            assertTrue(restarted.sendCallback("k1", "s-01", "done").startsWith("HTTP/1.1 2"), "the late callback is accepted");
+            restarted.awaitCount("call-backs for nothing", 1);
+            restarted.workerListener.setSoTimeout(300);
+            assertThrows(SocketTimeoutException.class, () -> restarted.workerListener.accept().close(), "the new process sent a job");
         }
     }
 }
--- a/node/src/test/java/hookweir/net/TestNode.java
+++ b/node/src/test/java/hookweir/net/TestNode.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.LongSupplier;
 
-/** A scheduler on a free port with one worker, which is a plain server socket that the test plays by hand. */
+/** A scheduler on a free port with one worker and one list service, both plain server sockets on which the test sends each response itself. */
 final class TestNode implements AutoCloseable {
-    /** A worker's answer: it has the job. */
+    /** A worker's response by which it accepts a job. */
     static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    /** The head of a watch's answer. */
+    /** The head of the list service's response to a watch. */
     static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     final ServerSocket workerListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -30,9 +30,9 @@
     final Node node;
     final int port;
     final Thread loopThread;
-    /** The watch of the list as the scheduler opened it at its start; null where the test plays the list service itself. */
+    /** The watch of the worker list that the scheduler opened at its start; null where the test accepts it itself. */
     final Socket watch;
-    /** By so many nanoseconds the scheduler's clock is ahead of the system's. */
+    /** How many nanoseconds the scheduler's clock is ahead of the system clock. */
     volatile LongSupplier clockOffsetNs = () -> 0;
     private static final long FIRST_TIMER_US = 2_000;
     private static final long HEARTBEAT_INTERVAL_MS = 1_000;
@@ -42,11 +42,11 @@
     private final boolean probesEnabled;
     private final String limits;
     private final String listMode;
-    /** The list as last held, with ' for "; null for one worker that serves. */
+    /** The cached worker list, with ' in place of "; null for a list of one serving worker. */
     private final String cachedList;
     private final boolean cancelEnabled;
 
-    /** The class's semantics: read_like, non_idempotent or idempotency_key. */
+    /** The semantics of the request class: read_like, non_idempotent or idempotency_key. */
     TestNode(String semantics) throws IOException {
         this(semantics, 20_000_000);
     }
@@ -59,42 +59,42 @@
         this(semantics, deadlineUs, probesEnabled, null);
     }
 
-    /** With limits of its own, as JSON. */
+    /** With the given process limits, as JSON members with ' in place of ". */
     TestNode(String semantics, long deadlineUs, String limits) throws IOException {
         this(semantics, deadlineUs, false, null, limits, "ask");
     }
 
-    /** With a name by which it meets other processes of its scheduler. */
+    /** With a Unix socket path under which it finds other processes of its scheduler. */
     TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath) throws IOException {
         this(semantics, deadlineUs, probesEnabled, handoverPath, "'sockets':128", "ask");
     }
 
-    /** Whose list service the test plays from the start: it has been asked for the changes, and nothing is sent before it answers. */
+    /** The test plays the list service from the start: the scheduler has requested the changes and sends no job before the response. */
     static TestNode withUnconfirmedList(String semantics) throws IOException {
         return new TestNode(semantics, 20_000_000, false, null, "'sockets':128", "ask", true, false, false, null);
     }
 
-    /** As {@link #withUnconfirmedList(String)}, with another list as last held. */
+    /** As {@link #withUnconfirmedList(String)}, with another cached worker list. */
     static TestNode withCachedList(String cachedList) throws IOException {
         return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "ask", true, false, false, cachedList);
     }
 
-    /** As {@link #withUnconfirmedList(String)}, with a name by which it meets other processes of its scheduler. */
+    /** As {@link #withUnconfirmedList(String)}, with a Unix socket path under which it finds other processes of its scheduler. */
     static TestNode withUnconfirmedList(String semantics, Path handoverPath) throws IOException {
         return new TestNode(semantics, 20_000_000, false, handoverPath, "'sockets':128", "ask", true, false, false, null);
     }
 
-    /** Where an agent on the own machine holds the list as it is pushed. */
+    /** The worker list is pushed to an agent on the same machine, which the scheduler watches. */
     static TestNode withPushedList() throws IOException {
         return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "push");
     }
 
-    /** Whose clock stands still from its start. */
+    /** The scheduler's clock is frozen from its start. */
     static TestNode withFrozenClock(String semantics) throws IOException {
         return new TestNode(semantics, 20_000_000, false, null, "'sockets':128", "ask", true, true, true, null);
     }
 
-    /** Where attempts can't be called off. */
+    /** Attempts cannot be cancelled. */
     static TestNode withoutCancellation() throws IOException {
         return new TestNode("read_like", 20_000_000, false, null, "'sockets':128", "ask", false, false, true, null);
     }
@@ -104,8 +104,8 @@
         this(semantics, deadlineUs, probesEnabled, handoverPath, limits, listMode, true, false, listMode.equals("ask"), null);
     }
 
-    private TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath, String limits, String listMode, boolean cancelEnabled,
-            boolean startsFrozen, boolean confirmList, String cachedList) throws IOException {
+    private TestNode(String semantics, long deadlineUs, boolean probesEnabled, Path handoverPath, String limits, String listMode,
+            boolean cancelEnabled, boolean startsFrozen, boolean confirmList, String cachedList) throws IOException {
         this.cachedList = cachedList;
         this.cancelEnabled = cancelEnabled;
         if (startsFrozen) {
@@ -123,8 +123,9 @@
         Config config;
         try {
             Config parsed = ConfigReader.fromFile(file, Map.of());
-            config = new Config(parsed.name(), parsed.listenAddress(), parsed.adminAddress(), parsed.listServiceAddress(), parsed.seed(), parsed.maxDescriptors(), parsed.maxHeldBytes(),
-                parsed.maxHeldJobs(), parsed.cachedWorkerList(), parsed.settings(), false, true, handoverPath, parsed.sourceJson());
+            config = new Config(parsed.name(), parsed.listenAddress(), parsed.adminAddress(), parsed.listServiceAddress(), parsed.seed(),
+                parsed.maxDescriptors(), parsed.maxHeldBytes(), parsed.maxHeldJobs(), parsed.cachedWorkerList(), parsed.settings(),
+                false, true, handoverPath, parsed.sourceJson());
         } catch (InvalidSettingException e) {
             throw new IllegalStateException(e);
         }
@@ -142,12 +143,12 @@
         watch = confirmList ? confirmCachedList() : null;
     }
 
-    /** Plays a list service that has no news for the list as last held. */
+    /** Accepts the watch and confirms that the cached worker list is current. */
     private Socket confirmCachedList() throws IOException {
         try {
             if (frozenAtNs != 0) {
                 awaitIoRounds();
-                advanceFrozenClock(FIRST_TIMER_US); // the first call is a timer's
+                advanceFrozenClock(FIRST_TIMER_US); // the first call to the list service is started by a timer
             }
             Socket watch = acceptWatch(7);
             sendListLine(watch, "{'version':7,'full':false,'servers':[]}");
@@ -159,7 +160,7 @@
         }
     }
 
-    /** Writes the empty lines of a watch on which nothing changes, until it ends. */
+    /** Sends the heartbeats of a watch without changes, which are empty lines, until the watch ends. */
     private static void sendHeartbeats(Socket watch) {
         Thread thread = new Thread(() -> {
             try {
@@ -168,14 +169,14 @@
                     sendListLine(watch, "");
                 }
             } catch (IOException | InterruptedException e) {
-                Thread.currentThread().interrupt(); // the watch is over
+                Thread.currentThread().interrupt(); // the watch has ended
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The configuration, with discovery at this address. */
+    /** The configuration, with the list service at this address. */
     String config(String listServiceAddress) {
         return ("{'listen':'127.0.0.1:0','admin_addr':'127.0.0.1:0','discovery':'" + listServiceAddress + "','seed':'1','limits':{" + limits + "},"
             + "'known':" + (cachedList == null ? "{'version':7,'full':true,'servers':[" + workerEntry("SERVING") + "]}" : cachedList) + ","
@@ -197,7 +198,7 @@
         return socket;
     }
 
-    /** An operators' call, on a connection of its own; all that comes of it. */
+    /** Sends a request to the admin address on its own connection and returns everything that comes back. */
     String adminCall(String method, String path) throws IOException {
         try (Socket socket = connectAdmin()) {
             send(socket, method + " /admin/" + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -211,7 +212,7 @@
         return socket;
     }
 
-    /** Gives the loop one task after the other until the latch is let go; counted as "let go" then. */
+    /** Keeps the loop busy with one task after another until the latch is counted down; this is counted as "let go". */
     CountDownLatch keepLoopBusy() {
         CountDownLatch gate = new CountDownLatch(1);
         node.post(new Runnable() {
@@ -227,12 +228,12 @@
         return gate;
     }
 
-    /** Stops the scheduler's clock, until {@link #resumeClock}. */
+    /** Freezes the scheduler's clock until {@link #resumeClock}. */
     void freezeClock() {
         freezeClockAt(System.nanoTime() + clockOffsetNs.getAsLong());
     }
 
-    /** Lets the clock that stands be so much later, and stand there. */
+    /** Advances the frozen clock by this time; it stays frozen. */
     void advanceFrozenClock(long us) {
         freezeClockAt(frozenAtNs + us * 1000);
     }
@@ -242,13 +243,13 @@
         clockOffsetNs = () -> ns - System.nanoTime();
     }
 
-    /** Lets its clock go on, as if so much had passed. */
+    /** Lets the clock run again, as if this time had passed. */
     void resumeClock(long us) {
         long offsetNs = clockOffsetNs.getAsLong() + us * 1000;
         clockOffsetNs = () -> offsetNs;
     }
 
-    /** Keeps the loop from reading until the latch is let go. */
+    /** Blocks the loop, so that it reads nothing, until the latch is counted down. */
     CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch entered = new CountDownLatch(1);
         CountDownLatch gate = new CountDownLatch(1);
@@ -264,7 +265,7 @@
         return gate;
     }
 
-    /** Plays the agent of a pushed list: answers the first call with the list as last held, and opens the watch behind it. */
+    /** Plays the agent of a pushed list: responds to the first call with the cached worker list and accepts the watch that follows. */
     Socket acceptListCallAndWatch() throws IOException {
         try (Socket call = listService.accept()) {
             assertTrue(receive(call).startsWith("GET /v1/servers HTTP/1.1\r\n"));
@@ -273,7 +274,7 @@
         return acceptWatch(7);
     }
 
-    /** Takes a call for a watch, and begins to answer it. */
+    /** Accepts a watch of the changes after this version and sends the head of the response. */
     Socket acceptWatch(long version) throws IOException {
         Socket watch = listService.accept();
         assertTrue(receive(watch).startsWith("GET /v1/servers?watch=1&after=" + version + " HTTP/1.1\r\n"));
@@ -281,13 +282,13 @@
         return watch;
     }
 
-    /** The whole list, its one worker in this state. */
+    /** Responds with a whole list of one worker in this state. */
     void sendWholeList(Socket call, long version, String state) throws IOException {
         String text = ("{'version':" + version + ",'full':true,'servers':[" + workerEntry(state) + "]}").replace('\'', '"');
         send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
     }
 
-    /** Waits until the loop has read what is there by now, and done what that led to. */
+    /** Waits until the loop has read all input that has arrived by now and handled what followed from it. */
     void awaitIoRounds() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             CountDownLatch done = new CountDownLatch(1);
@@ -296,19 +297,19 @@
         }
     }
 
-    /** Waits until the loop has done all that it had to do by now. */
+    /** Waits until the loop has run all tasks that it has by now. */
     void awaitLoop() throws IOException {
         request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
     }
 
-    /** Waits until something was counted so often. */
+    /** Waits until the counter has reached this value. */
     void awaitCount(String name, long times) throws InterruptedException {
         while (node.invariants().counted(name) < times) {
             Thread.sleep(5);
         }
     }
 
-    /** A whole request and its answer on a connection of its own. */
+    /** Sends one request on its own connection and returns the response. */
     String request(String message) throws IOException {
         try (Socket socket = connect()) {
             send(socket, message);
@@ -325,10 +326,11 @@
     }
 
     String sendCallback(String id, String workerId, String state) throws IOException {
-        return request(post("/callback", "", ("{'id':'" + id + "','from':'" + workerId + "','state':'" + state + "','result':'r\\u00e9s'}").replace('\'', '"')));
+        return request(post("/callback", "",
+            ("{'id':'" + id + "','from':'" + workerId + "','state':'" + state + "','result':'r\\u00e9s'}").replace('\'', '"')));
     }
 
-    /** One line of a watch, with ' for ", as discovery sends it. */
+    /** Sends one line of a watch as the list service does, as a chunk; the JSON has ' in place of ". */
     static void sendListLine(Socket watch, String json) throws IOException {
         String text = json.replace('\'', '"') + "\n";
         send(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
@@ -338,7 +340,7 @@
         socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One whole message with a length; what came of it, where the connection ends sooner. */
+    /** Reads one whole message with a Content-Length, or what has arrived of it if the connection ends sooner. */
     static String receive(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/node/src/test/java/hookweir/net/UpgradeTest.java
+++ b/node/src/test/java/hookweir/net/UpgradeTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one scheduler; here they are two nodes that meet by one name, each on a port of its own. */
+/** Two processes of one scheduler during an upgrade. Here they are two nodes with the same Unix socket path and a port each. */
 @Timeout(60)
 class UpgradeTest {
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -36,7 +36,7 @@
     @TempDir
     Path folder;
 
-    /** Unix sockets that this process holds besides those, by what the system says of its descriptors. */
+    /** The Unix sockets among the open descriptors of this process, without the excluded ones. */
     private static Set<String> unixSockets(Set<String> excluded) throws IOException {
         Set<String> unix = new HashSet<>();
         for (String line : Files.readAllLines(Path.of("/proc/self/net/unix"))) {
@@ -49,7 +49,7 @@
                 try {
                     held.add(Files.readSymbolicLink(link).toString());
                 } catch (java.nio.file.NoSuchFileException e) {
-                    continue; // closed since, the listing's own among them
+                    continue; // closed since, such as the descriptor of the listing itself
                 }
             }
         }
@@ -58,25 +58,25 @@
         return held;
     }
 
-    /** Where the hand-over is off nobody looks for another process or can be found by one, though one starts beside it. */
+    /** Without handover no process looks for another or can be found by one, even if both run at the same time. */
     @Test
     void withoutHandoverThereIsNoUnixSocket() throws Exception {
-        Set<String> before = unixSockets(Set.of()); // what earlier tests left may go at any time
-        try (TestNode old = startProcess(); TestNode young = startSuccessor()) {
-            sendList(young);
+        Set<String> before = unixSockets(Set.of()); // sockets of earlier tests may be closed at any time
+        try (TestNode old = startProcess(); TestNode successor = startSuccessor()) {
+            sendList(successor);
             old.awaitCount("clients sent away", 1);
-            assertTrue(unixSockets(before).size() >= 3, "the name and both ends of the wire"); // the look itself works
+            assertTrue(unixSockets(before).size() >= 3, "the listening socket and both ends of the connection"); // the search itself works
         }
         while (!unixSockets(before).isEmpty()) {
             Thread.sleep(5);
         }
         Files.deleteIfExists(folder.resolve("hw"));
-        try (TestNode old = new TestNode("read_like", 20_000_000); TestNode young = new TestNode("read_like", 20_000_000)) {
+        try (TestNode old = new TestNode("read_like", 20_000_000); TestNode successor = new TestNode("read_like", 20_000_000)) {
             old.awaitLoop();
-            young.awaitLoop();
+            successor.awaitLoop();
             assertEquals(Set.of(), unixSockets(before));
             assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
-            assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+            assertTrue(successor.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
             try (java.util.stream.Stream<Path> left = Files.list(folder)) {
                 assertEquals(0, left.count());
             }
@@ -87,77 +87,77 @@
         return new TestNode("read_like", 20_000_000, false, folder.resolve("hw"));
     }
 
-    /** Which has yet to hear of the list. */
+    /** Starts a second process, whose worker list is not confirmed yet. */
     private TestNode startSuccessor() throws IOException {
         return TestNode.withUnconfirmedList("read_like", folder.resolve("hw"));
     }
 
-    private static void sendList(TestNode n) throws IOException {
-        try (Socket watch = n.acceptWatch(7)) {
-            TestNode.sendListLine(watch, "{'version':8,'full':true,'servers':[" + n.workerEntry("SERVING") + "]}");
+    private static void sendList(TestNode scheduler) throws IOException {
+        try (Socket watch = scheduler.acceptWatch(7)) {
+            TestNode.sendListLine(watch, "{'version':8,'full':true,'servers':[" + scheduler.workerEntry("SERVING") + "]}");
         }
     }
 
-    /** Either process may get the other's call-backs; the old one lets no more clients in, until the new one is gone. */
+    /** Either process may receive the other's callbacks. The old one stops accepting clients until the new one has ended. */
     @Test
     void callbacksReachTheirProcessAndClientsAreHandedOver() throws Exception {
-        try (TestNode old = startProcess(); Socket client = old.connect(); Socket resting = old.connect()) {
-            send(resting, HEALTHZ);
-            receive(resting);
+        try (TestNode old = startProcess(); Socket client = old.connect(); Socket idle = old.connect()) {
+            send(idle, HEALTHZ);
+            receive(idle);
             send(client, job("u1"));
-            try (Socket w = old.workerListener.accept()) {
-                receive(w);
-                send(w, ACCEPTED);
-                try (TestNode young = startSuccessor()) {
-                    assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 503")); // not before it has the list
+            try (Socket worker = old.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
+                try (TestNode successor = startSuccessor()) {
+                    assertTrue(successor.adminCall("GET", "health").startsWith("HTTP/1.1 503")); // not ready before it has the list
                     assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
-                    sendList(young);
+                    sendList(successor);
                     old.awaitCount("clients sent away", 1);
-                    assertEquals(-1, resting.getInputStream().read());
-                    assertTrue(young.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+                    assertEquals(-1, idle.getInputStream().read());
+                    assertTrue(successor.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
                     assertTrue(old.adminCall("GET", "health").startsWith("HTTP/1.1 503"));
-                    assertTrue(young.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
-                    assertTrue(young.sendCallback("u1", "s-01", "done").startsWith("HTTP/1.1 204"));
-                    String answer = receive(client);
-                    assertTrue(answer.startsWith("HTTP/1.1 200") && answer.contains("Connection: close"), answer);
-                    assertEquals(1, young.node.invariants().counted("call-backs for a neighbour"));
-                    assertEquals(1, young.node.invariants().counted("call-backs for nothing"));
+                    assertTrue(successor.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+                    assertTrue(successor.sendCallback("u1", "s-01", "done").startsWith("HTTP/1.1 204"));
+                    String response = receive(client);
+                    assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("Connection: close"), response);
+                    assertEquals(1, successor.node.invariants().counted("call-backs for a neighbour"));
+                    assertEquals(1, successor.node.invariants().counted("call-backs for nothing"));
                 }
                 old.awaitCount("clients welcome", 1);
                 assertTrue(old.request(HEALTHZ).startsWith("HTTP/1.1 200"));
                 try (TestNode third = startSuccessor()) {
-                    sendList(third); // it found the old one by the name, which that took back
+                    sendList(third); // it finds the old process, which has bound the path again
                     old.awaitCount("clients sent away", 2);
                 }
             }
         }
     }
 
-    /** A name left by a process that was killed is taken over. */
+    /** The socket file of a process that was killed is replaced. */
     @Test
     void staleSocketFileIsReplaced() throws Exception {
-        try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            dead.bind(UnixDomainSocketAddress.of(folder.resolve("hw")));
+        try (ServerSocketChannel stale = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            stale.bind(UnixDomainSocketAddress.of(folder.resolve("hw")));
         }
-        try (TestNode n = startProcess()) {
-            n.awaitLoop();
-            assertTrue(n.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
-            try (TestNode young = startSuccessor()) {
-                sendList(young);
-                n.awaitCount("clients sent away", 1);
+        try (TestNode scheduler = startProcess()) {
+            scheduler.awaitLoop();
+            assertTrue(scheduler.adminCall("GET", "health").startsWith("HTTP/1.1 200"));
+            try (TestNode successor = startSuccessor()) {
+                sendList(successor);
+                scheduler.awaitCount("clients sent away", 1);
             }
         }
     }
 
-    /** A neighbour that hangs holds up a call-back for a moment, and one that talks nonsense is dropped. */
+    /** A peer process that hangs delays a callback only briefly, and one that sends garbage is disconnected. */
     @Test
     void silentAndInvalidPeersAreTolerated() throws Exception {
-        try (TestNode n = startProcess()) {
-            n.awaitLoop();
+        try (TestNode scheduler = startProcess()) {
+            scheduler.awaitLoop();
             UnixDomainSocketAddress name = UnixDomainSocketAddress.of(folder.resolve("hw"));
             try (SocketChannel silent = SocketChannel.open(name)) {
                 silent.write(ByteBuffer.wrap(new byte[] {0, 0}));
-                assertTrue(n.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+                assertTrue(scheduler.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
             }
             Random random = new Random(7);
             for (int i = 0; i < 20; i++) {
@@ -167,46 +167,46 @@
                     noise.write(ByteBuffer.wrap(garbage));
                 }
             }
-            assertTrue(n.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
-            assertTrue(n.request(HEALTHZ).startsWith("HTTP/1.1 200"));
+            assertTrue(scheduler.sendCallback("nobodys", "s-01", "done").startsWith("HTTP/1.1 204"));
+            assertTrue(scheduler.request(HEALTHZ).startsWith("HTTP/1.1 200"));
         }
     }
 
-    /** The platform's socket outlives a process that inherits it, and so does what that one logs. */
+    /** A listening socket inherited from the platform survives the process that inherits it, and that process logs until its end. */
     @Test
     void inheritedSocketIsPassedToTheNextProcess() throws Exception {
-        assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl, to hand on a socket");
+        assumeTrue(Files.isExecutable(Path.of("/usr/bin/perl")), "perl is needed to pass on a socket");
         try (ServerSocket list = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Path config = folder.resolve("config.json");
             Files.writeString(config, ("{'listen':'127.0.0.1:1','discovery':'127.0.0.1:" + list.getLocalPort() + "','limits':{'sockets':128},"
                 + "'settings':{'classes':[{'name':'a','semantics':'read_like'}],'discovery':'ask'}}").replace('\'', '"'));
-            ProcessBuilder b = new ProcessBuilder("/usr/bin/perl", "-MSocket", "-MPOSIX=dup2", "-e",
+            ProcessBuilder builder = new ProcessBuilder("/usr/bin/perl", "-MSocket", "-MPOSIX=dup2", "-e",
                 "socket(S,PF_INET,SOCK_STREAM,0);bind(S,sockaddr_in(0,INADDR_LOOPBACK));listen(S,9);$p=(sockaddr_in(getsockname(S)))[0];"
                     + "dup2(fileno(S),0);$|=1;for(1..2){if(!($k=fork)){exec @ARGV}print \"$p $k\\n\";waitpid($k,0)}",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-cp",
                 System.getProperty("java.class.path"), "hookweir.Main", "serve");
-            b.environment().putAll(java.util.Map.of("RELAY_CONFIG", config.toString(), "RELAY_FD", "0", "TMPDIR", folder.toString()));
-            Process both = b.redirectErrorStream(true).start();
-            try (BufferedReader out = new BufferedReader(new InputStreamReader(both.getInputStream()))) {
+            builder.environment().putAll(java.util.Map.of("RELAY_CONFIG", config.toString(), "RELAY_FD", "0", "TMPDIR", folder.toString()));
+            Process processes = builder.redirectErrorStream(true).start();
+            try (BufferedReader out = new BufferedReader(new InputStreamReader(processes.getInputStream()))) {
                 String[] portAndProcess = out.readLine().split(" ");
                 int port = Integer.parseInt(portAndProcess[0]);
                 awaitReady(port);
                 ProcessHandle.of(Long.parseLong(portAndProcess[1])).orElseThrow().destroy();
                 String line = out.readLine();
-                while (!line.contains("leaving")) { // it still logs to the end
+                while (!line.contains("leaving")) { // it still logs until its end
                     line = out.readLine();
                 }
                 portAndProcess = out.readLine().split(" ");
                 awaitReady(port);
                 ProcessHandle.of(Long.parseLong(portAndProcess[1])).orElseThrow().destroy();
             } finally {
-                both.descendants().forEach(ProcessHandle::destroy);
+                processes.descendants().forEach(ProcessHandle::destroy);
             }
-            both.waitFor();
+            processes.waitFor();
         }
     }
 
-    /** Its list service never answers, so it serves by the list as last held once it has waited for that. */
+    /** Waits until the process is ready: its list service never responds, so it serves by the cached worker list after a wait. */
     private static void awaitReady(int port) throws Exception {
         while (!requestHealth(port).startsWith("HTTP/1.1 200")) {
             Thread.sleep(20);
--- a/node/src/test/java/hookweir/net/WatchTest.java
+++ b/node/src/test/java/hookweir/net/WatchTest.java
@@ -11,131 +11,131 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A watch on the list, and what comes between its lines. */
+/** The watch of a pushed worker list: unreadable and unread lines, silence, and an agent that does not respond. */
 @Timeout(30)
 final class WatchTest {
     private static final String HEALTHZ = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 
-    private static void awaitDrained(TestNode n) throws Exception {
-        String answer = "";
-        for (int i = 0; !answer.startsWith("HTTP/1.1 429"); i++) {
-            answer = n.request(TestNode.post("/api", "Req-Id: d" + i + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 50\r\n", "work"));
+    private static void awaitDrained(TestNode scheduler) throws Exception {
+        String response = "";
+        for (int i = 0; !response.startsWith("HTTP/1.1 429"); i++) {
+            response = scheduler.request(TestNode.post("/api", "Req-Id: d" + i + "\r\nReq-Kind: render\r\nReq-Deadline-Ms: 50\r\n", "work"));
         }
     }
 
-    /** An object over several lines was taken for as many bad ones, and its news was lost. */
+    /** An object over several lines was taken for as many invalid lines, and its changes were lost. */
     @Test
     void indentedListIsParsed() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch()) {
-            String text = ("{\n  'version': 8,\n  'full': false,\n  'servers': [\n    " + n.workerEntry("DRAINING").replace(",", ",\n      ")
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch()) {
+            String text = ("{\n  'version': 8,\n  'full': false,\n  'servers': [\n    " + scheduler.workerEntry("DRAINING").replace(",", ",\n      ")
                 + "\n  ]\n}\n").replace('\'', '"');
             send(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-            n.awaitCount("list updates", 2);
-            assertEquals(0, n.node.invariants().counted("discovery bad line"));
-            awaitDrained(n);
+            scheduler.awaitCount("list updates", 2);
+            assertEquals(0, scheduler.node.invariants().counted("discovery bad line"));
+            awaitDrained(scheduler);
         }
     }
 
-    /** What a line told that can't be read no later line repeats: the whole list is asked for, after the next line of any kind. */
+    /** No later line repeats the changes of a line that cannot be parsed: the whole list is requested after the next line of any kind. */
     @Test
     void unreadableLineTriggersWholeListCall() throws Exception {
-        try (TestNode n = TestNode.withPushedList()) {
-            try (Socket watch = n.acceptListCallAndWatch()) {
-                sendListLine(watch, "{'version':8,'full':false,'servers':[" + n.workerEntry("DRAINING").substring(0, 40));
+        try (TestNode scheduler = TestNode.withPushedList()) {
+            try (Socket watch = scheduler.acceptListCallAndWatch()) {
+                sendListLine(watch, "{'version':8,'full':false,'servers':[" + scheduler.workerEntry("DRAINING").substring(0, 40));
                 sendListLine(watch, "");
-                try (Socket call = n.listService.accept()) {
+                try (Socket call = scheduler.listService.accept()) {
                     assertTrue(receive(call).startsWith("GET /v1/servers HTTP/1.1\r\n"));
-                    n.sendWholeList(call, 8, "DRAINING");
-                    awaitDrained(n);
+                    scheduler.sendWholeList(call, 8, "DRAINING");
+                    awaitDrained(scheduler);
                 }
-                n.acceptWatch(8).close();
+                scheduler.acceptWatch(8).close();
             }
         }
     }
 
-    /** The process was busy for as long as a watch may be silent, and a line lay unread all the while: the watch stands. */
+    /** The process was busy for the whole silence timeout of the watch while a line lay unread: the watch must stay open. */
     @Test
     void unreadLineIsNotSilence() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch()) {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch()) {
             sendListLine(watch, "");
-            n.awaitLoop();
-            CountDownLatch gate = n.blockLoop();
+            scheduler.awaitLoop();
+            CountDownLatch gate = scheduler.blockLoop();
             sendListLine(watch, "{'version':8,'full':false,'servers':[]}");
-            n.resumeClock(5_000_000);
+            scheduler.resumeClock(5_000_000);
             gate.countDown();
-            n.awaitCount("list updates", 2);
-            n.awaitLoop();
-            assertEquals(0, n.node.invariants().counted("discovery silent"));
+            scheduler.awaitCount("list updates", 2);
+            scheduler.awaitLoop();
+            assertEquals(0, scheduler.node.invariants().counted("discovery silent"));
         }
     }
 
-    /** A watch that falls silent is opened anew, from where it stood, with time for a second try before 6 s are over. */
+    /** A silent watch is reopened at its last version, early enough for a second try before 6 s have passed. */
     @Test
     void silentWatchIsReopenedInTimeForARetry() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket watch = n.acceptListCallAndWatch()) {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket watch = scheduler.acceptListCallAndWatch()) {
             sendListLine(watch, "{'version':8,'full':false,'servers':[]}");
-            n.awaitCount("list updates", 2);
-            n.freezeClock();
-            n.advanceFrozenClock(2_700_000);
-            n.awaitCount("discovery silent", 1);
-            n.awaitLoop();
-            n.advanceFrozenClock(375_000); // the longest first pause
-            Socket unheard = n.listService.accept();
-            receive(unheard);
-            n.advanceFrozenClock(1_600_000); // no answer
-            n.awaitCount("discovery silent", 2);
-            n.awaitLoop();
-            n.resumeClock(751_000); // the longest second pause: 5.4 s so far
-            n.acceptWatch(8).close();
-            unheard.close();
+            scheduler.awaitCount("list updates", 2);
+            scheduler.freezeClock();
+            scheduler.advanceFrozenClock(2_700_000);
+            scheduler.awaitCount("discovery silent", 1);
+            scheduler.awaitLoop();
+            scheduler.advanceFrozenClock(375_000); // the longest first pause
+            Socket unanswered = scheduler.listService.accept();
+            receive(unanswered);
+            scheduler.advanceFrozenClock(1_600_000); // no response
+            scheduler.awaitCount("discovery silent", 2);
+            scheduler.awaitLoop();
+            scheduler.resumeClock(751_000); // the longest second pause: 5.4 s in total
+            scheduler.acceptWatch(8).close();
+            unanswered.close();
         }
     }
 
-    /** What the agent has counts as told from the first moment of a process: no job goes by the list as last held before it. */
+    /** The agent's list counts as notified from the start of a process: no job is sent by the cached worker list before the agent responds. */
     @Test
     void noJobIsSentBeforeTheAgentResponds() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket call = n.listService.accept()) {
+        try (TestNode scheduler = TestNode.withPushedList(); Socket call = scheduler.listService.accept()) {
             receive(call);
-            n.freezeClock();
-            try (Socket client = n.connect()) {
+            scheduler.freezeClock();
+            try (Socket client = scheduler.connect()) {
                 send(client, TestNode.job("a1").replace("20000", "50"));
-                n.awaitIoRounds();
-                n.sendWholeList(call, 8, "DRAINING");
-                n.acceptWatch(8).close();
-                n.resumeClock(0);
+                scheduler.awaitIoRounds();
+                scheduler.sendWholeList(call, 8, "DRAINING");
+                scheduler.acceptWatch(8).close();
+                scheduler.resumeClock(0);
                 assertTrue(receive(client).startsWith("HTTP/1.1 429"));
-                assertEquals(0, n.node.invariants().counted("egress dials"));
+                assertEquals(0, scheduler.node.invariants().counted("egress dials"));
             }
         }
     }
 
-    /** Without an answer the list as last held has to do, after half a second and not before. */
+    /** Without a response the cached worker list is used, after half a second and not before. */
     @Test
     void silentAgentDoesNotBlockStart() throws Exception {
-        try (TestNode n = TestNode.withPushedList(); Socket unheard = n.listService.accept()) {
-            receive(unheard);
-            n.freezeClock();
-            assertTrue(n.request(HEALTHZ).startsWith("HTTP/1.1 503"));
-            n.advanceFrozenClock(510_000);
-            n.awaitCount("starts by the list as last held", 1);
-            assertTrue(n.request(HEALTHZ).startsWith("HTTP/1.1 200"));
+        try (TestNode scheduler = TestNode.withPushedList(); Socket unanswered = scheduler.listService.accept()) {
+            receive(unanswered);
+            scheduler.freezeClock();
+            assertTrue(scheduler.request(HEALTHZ).startsWith("HTTP/1.1 503"));
+            scheduler.advanceFrozenClock(510_000);
+            scheduler.awaitCount("starts by the list as last held", 1);
+            assertTrue(scheduler.request(HEALTHZ).startsWith("HTTP/1.1 200"));
         }
     }
 
-    /** What an agent hears at discovery's return counts as told at once: while it is silent it is asked five times a second. */
+    /** Changes that the agent receives when the list service returns count as notified at once: a silent agent is polled 5 times a second. */
     @Test
     void silentAgentIsPolledAgainAtOnce() throws Exception {
-        try (TestNode n = TestNode.withPushedList()) {
-            n.acceptListCallAndWatch().close();
+        try (TestNode scheduler = TestNode.withPushedList()) {
+            scheduler.acceptListCallAndWatch().close();
             for (int i = 0; i < 8; i++) {
-                Socket unheard = n.listService.accept();
-                n.freezeClock();
-                receive(unheard);
-                n.advanceFrozenClock(102_000);
-                n.awaitCount("discovery silent", 1 + i);
-                n.awaitLoop();
-                n.advanceFrozenClock(78_000);
-                unheard.close();
+                Socket unanswered = scheduler.listService.accept();
+                scheduler.freezeClock();
+                receive(unanswered);
+                scheduler.advanceFrozenClock(102_000);
+                scheduler.awaitCount("discovery silent", 1 + i);
+                scheduler.awaitLoop();
+                scheduler.advanceFrozenClock(78_000);
+                unanswered.close();
             }
         }
     }
--- a/node/src/test/java/hookweir/net/WorkerConnectionsTest.java
+++ b/node/src/test/java/hookweir/net/WorkerConnectionsTest.java
@@ -24,213 +24,217 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What workers do to connections at the wrong moment: late ones, second answers, answers across a decision, moved addresses. */
+/** Worker connections at awkward moments: late connects, duplicate responses, responses at a timeout, changed addresses. */
 @Timeout(30)
 final class WorkerConnectionsTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    /** Fills the backlog of a door that nobody opens: whoever dials it hears nothing. */
-    private static List<Socket> fillBacklog(ServerSocket door) throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    /** Fills the backlog of a listening socket on which nothing is accepted: further connects get no response. */
+    private static List<Socket> fillBacklog(ServerSocket listener) throws Exception {
+        List<Socket> backlog = new ArrayList<>();
         try {
             while (true) {
                 Socket s = new Socket();
-                crowd.add(s);
-                s.connect(new InetSocketAddress(LOOPBACK, door.getLocalPort()), 200);
+                backlog.add(s);
+                s.connect(new InetSocketAddress(LOOPBACK, listener.getLocalPort()), 200);
             }
         } catch (java.net.SocketTimeoutException full) {
-            return crowd;
+            return backlog;
         }
     }
 
-    /** A second answer that comes some milliseconds late was taken for that of the next job on the link. */
+    /** A duplicate response that came some milliseconds late was taken for the response to the next job on the connection. */
     @Test
     void connectionIsNotReusedWithinDuplicateResponseWindow() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
-            n.freezeClock();
+        try (TestNode scheduler = new TestNode("non_idempotent"); Socket client = scheduler.connect()) {
+            scheduler.freezeClock();
             send(client, job("s1"));
-            try (Socket first = n.workerListener.accept()) {
+            try (Socket first = scheduler.workerListener.accept()) {
                 receive(first);
                 send(first, ACCEPTED);
-                n.sendCallback("s1", "s-01", "done");
+                scheduler.sendCallback("s1", "s-01", "done");
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
                 send(client, job("s2"));
-                n.awaitCount("requests", 2);
+                scheduler.awaitCount("requests", 2);
                 send(first, "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-                assertEquals("", receive(first), "no job on it, and its end, as the next answer could not be told from this one");
-                n.resumeClock(40_000);
-                try (Socket second = n.workerListener.accept()) {
+                assertEquals("", receive(first), "no job on the connection and its end, because the next response could not be told from this one");
+                scheduler.resumeClock(40_000);
+                try (Socket second = scheduler.workerListener.accept()) {
                     assertTrue(receive(second).contains("Req-Id: s2\r\n"));
                     send(second, ACCEPTED);
-                    n.sendCallback("s2", "s-01", "done");
+                    scheduler.sendCallback("s2", "s-01", "done");
                     assertTrue(receive(client).startsWith("HTTP/1.1 200"));
                     send(client, job("s3"));
-                    assertTrue(receive(second).contains("Req-Id: s3\r\n"), "a settled link is used again");
-                    assertEquals(2, n.node.invariants().counted("egress dials"));
+                    assertTrue(receive(second).contains("Req-Id: s3\r\n"), "a connection is reused after the reuse delay");
+                    assertEquals(2, scheduler.node.invariants().counted("egress dials"));
                 }
             }
         }
     }
 
-    /** A check's second answer, a 200, comes under a job: that is no answer to a job, and its own is waited for. */
+    /** A probe's duplicate response, a 200, comes while a job is sent: no job gets a 200, so the job's own response is awaited. */
     @Test
     void responseThatIsNotForAJobIsIgnored() throws Exception {
-        try (TestNode n = new TestNode("non_idempotent"); Socket client = n.connect()) {
+        try (TestNode scheduler = new TestNode("non_idempotent"); Socket client = scheduler.connect()) {
             send(client, job("p1"));
-            try (Socket w = n.workerListener.accept()) {
-                receive(w);
-                send(w, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
-                n.awaitCount("egress answers of no call", 1);
-                send(w, ACCEPTED);
-                n.sendCallback("p1", "s-01", "done");
+            try (Socket worker = scheduler.workerListener.accept()) {
+                receive(worker);
+                send(worker, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=1");
+                scheduler.awaitCount("egress answers of no call", 1);
+                send(worker, ACCEPTED);
+                scheduler.sendCallback("p1", "s-01", "done");
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
 
-    /** Nobody said that it took the job, and a 202 may be on its way: the worker hears before the job goes out again. */
+    /** The job was not accepted in time, but a 202 may be on its way: the worker gets a cancellation before the job is sent again. */
     @Test
     void jobNotAcceptedInTimeIsCancelledAtItsWorker() throws Exception {
-        try (TestNode n = new TestNode("read_like", 200_000_000); Socket client = n.connect()) {
+        try (TestNode scheduler = new TestNode("read_like", 200_000_000); Socket client = scheduler.connect()) {
             send(client, job("u1").replace("20000", "200000"));
-            try (Socket first = n.workerListener.accept()) {
+            try (Socket first = scheduler.workerListener.accept()) {
                 receive(first);
-                n.awaitLoop();
-                n.resumeClock(31_000_000);
+                scheduler.awaitLoop();
+                scheduler.resumeClock(31_000_000);
                 assertEquals("", receive(first));
-                try (Socket next = n.workerListener.accept()) {
+                try (Socket next = scheduler.workerListener.accept()) {
                     assertTrue(receive(next).startsWith("DELETE /jobs/u1 HTTP/1.1\r\n"));
-                    n.awaitCount("attempts TIMEOUT", 1);
+                    scheduler.awaitCount("attempts TIMEOUT", 1);
                 }
             }
         }
     }
 
-    /** The 202 lay unread as the wait for it ran out, as the process had other things to do. */
+    /** The process was busy, and the 202 had arrived but was still unread when the timeout for it expired. */
     @Test
     void unread202AtTimeoutCounts() throws Exception {
-        try (TestNode n = new TestNode("read_like", 200_000_000); Socket client = n.connect()) {
+        try (TestNode scheduler = new TestNode("read_like", 200_000_000); Socket client = scheduler.connect()) {
             send(client, job("u2").replace("20000", "200000"));
-            try (Socket w = n.workerListener.accept()) {
-                receive(w);
-                n.awaitLoop();
-                CountDownLatch gate = n.blockLoop();
-                send(w, ACCEPTED);
-                n.resumeClock(31_000_000);
+            try (Socket worker = scheduler.workerListener.accept()) {
+                receive(worker);
+                scheduler.awaitLoop();
+                CountDownLatch gate = scheduler.blockLoop();
+                send(worker, ACCEPTED);
+                scheduler.resumeClock(31_000_000);
                 gate.countDown();
-                n.sendCallback("u2", "s-01", "done");
+                scheduler.sendCallback("u2", "s-01", "done");
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
-                assertEquals(0, n.node.invariants().counted("attempts TIMEOUT"));
+                assertEquals(0, scheduler.node.invariants().counted("attempts TIMEOUT"));
             }
         }
     }
 
-    /** The job is done in the round of I/O in which its time runs out: the answer stands, and the module knows of it. */
+    /** The result arrives in the round of I/O in which the job's deadline passes: the response stands, and the module is notified of it. */
     @Test
     void resultReceivedAtDeadlineStands() throws Exception {
-        try (TestNode n = TestNode.withFrozenClock("non_idempotent"); Socket client = n.connect()) {
-            n.advanceFrozenClock(10_000); // past the module's first timers, and before the next
+        try (TestNode scheduler = TestNode.withFrozenClock("non_idempotent"); Socket client = scheduler.connect()) {
+            scheduler.advanceFrozenClock(10_000); // after the module's first timers and before the next ones
             send(client, job("x1").replace("20000", "100"));
-            try (Socket w = n.workerListener.accept()) {
-                receive(w);
-                send(w, ACCEPTED);
-                Invariants seen = n.node.invariants();
-                LongSupplier before = n.clockOffsetNs;
-                n.clockOffsetNs = () -> before.getAsLong() + (seen.counted("attempts OK") > 0 ? 99_000_000L : 0);
-                n.sendCallback("x1", "s-01", "done");
+            try (Socket worker = scheduler.workerListener.accept()) {
+                receive(worker);
+                send(worker, ACCEPTED);
+                Invariants invariants = scheduler.node.invariants();
+                LongSupplier before = scheduler.clockOffsetNs;
+                scheduler.clockOffsetNs = () -> before.getAsLong() + (invariants.counted("attempts OK") > 0 ? 99_000_000L : 0);
+                scheduler.sendCallback("x1", "s-01", "done");
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
-                assertTrue(n.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "the loop goes on");
-                assertEquals(0, seen.counted("BROKEN failure of a closed request"));
+                assertTrue(scheduler.request("GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n").startsWith("HTTP/1.1 200"), "the loop is still running");
+                assertEquals(0, invariants.counted("BROKEN failure of a closed request"));
             }
         }
     }
 
-    /** The connection comes up after the client left; attempts can't be called off there, so none is begun. */
+    /** The connection is established after the client disconnected. Attempts cannot be cancelled here, so none may be started. */
     @Test
     void jobOfDisconnectedClientIsNotSent() throws Exception {
-        try (TestNode n = TestNode.withoutCancellation()) {
-            List<Socket> crowd = fillBacklog(n.workerListener);
-            Socket client = n.connect(); // closed by hand: its leaving is the test
+        try (TestNode scheduler = TestNode.withoutCancellation()) {
+            List<Socket> backlog = fillBacklog(scheduler.workerListener);
+            Socket client = scheduler.connect(); // closed explicitly: its disconnect is what is tested
             send(client, job("g1"));
-            n.awaitCount("egress dials", 1);
+            scheduler.awaitCount("egress dials", 1);
             client.close();
-            n.awaitCount("clients gone", 1);
-            for (Socket s : crowd) {
+            scheduler.awaitCount("clients gone", 1);
+            for (Socket s : backlog) {
                 s.close();
             }
-            for (int i = 1; i < crowd.size(); i++) {
-                n.workerListener.accept().close();
+            for (int i = 1; i < backlog.size(); i++) {
+                scheduler.workerListener.accept().close();
             }
-            try (Socket late = n.workerListener.accept(); Socket next = n.connect()) {
-                n.awaitCount("attempts MOOT", 1);
+            try (Socket late = scheduler.workerListener.accept(); Socket next = scheduler.connect()) {
+                scheduler.awaitCount("attempts MOOT", 1);
                 send(next, job("g2"));
-                assertTrue(receive(late).contains("Req-Id: g2\r\n"), "the first that it carries");
+                assertTrue(receive(late).contains("Req-Id: g2\r\n"), "the first job on this connection");
             }
         }
     }
 
-    /** A worker that moved left its kept links counted as open: with each move there was room for one less. */
+    /** After a worker changed its address, its idle connections still counted as open: each change left room for one connection less. */
     @Test
     void connectionsToOldWorkerAddressAreReleased() throws Exception {
-        try (ServerSocket other = new ServerSocket(0, 50, LOOPBACK);
-                TestNode n = new TestNode("read_like", 20_000_000, "'sockets':96"); Socket client = n.connect()) {
-            new AutoWorker(n, true);
-            new AutoWorker(n, other, "s-01", true, Integer.MAX_VALUE);
-            String there = n.workerEntry("SERVING").replaceAll(":\\d+','zone", ":" + other.getLocalPort() + "','zone");
+        try (ServerSocket newListener = new ServerSocket(0, 50, LOOPBACK);
+                TestNode scheduler = new TestNode("read_like", 20_000_000, "'sockets':96"); Socket client = scheduler.connect()) {
+            new AutoWorker(scheduler, true);
+            new AutoWorker(scheduler, newListener, "s-01", true, Integer.MAX_VALUE);
+            String movedEntry = scheduler.workerEntry("SERVING").replaceAll(":\\d+','zone", ":" + newListener.getLocalPort() + "','zone");
             for (int i = 0; i < 100; i++) {
                 send(client, job("m" + i));
                 assertTrue(receive(client).startsWith("HTTP/1.1 200"));
-                sendListLine(n.watch, "{'version':" + (8 + i) + ",'full':false,'servers':[" + (i % 2 == 0 ? there : n.workerEntry("SERVING")) + "]}");
-                n.awaitCount("list updates", 3 + i);
+                sendListLine(scheduler.watch, "{'version':" + (8 + i) + ",'full':false,'servers':["
+                    + (i % 2 == 0 ? movedEntry : scheduler.workerEntry("SERVING")) + "]}");
+                scheduler.awaitCount("list updates", 3 + i);
             }
-            assertEquals(0, n.node.invariants().counted("egress waits for a link"));
+            assertEquals(0, scheduler.node.invariants().counted("egress waits for a link"));
         }
     }
 
-    /** Each link that settles is waited for by one call: where all waited, a busy worker's jobs did so for ever. */
+    /** At most one call waits for each connection in its reuse delay: when all calls waited, the jobs of a busy worker waited for ever. */
     @Test
     void onlyOneCallWaitsForReuseAndTheNextConnects() throws Exception {
-        try (ConnectionPoolFixture pool = new ConnectionPoolFixture()) {
-            pool.acquire();
-            OutboundConnection first = pool.acquired.take();
+        try (ConnectionPoolFixture fixture = new ConnectionPoolFixture()) {
+            fixture.acquire();
+            OutboundConnection first = fixture.acquired.take();
             long now = System.nanoTime();
-            pool.io.clock = () -> now;
-            pool.io.loop.post(() -> pool.pool.releaseWithReuseDelay(pool.pool.worker(1), first, true));
-            pool.assertOneCallWaitsForReuse(first);
+            fixture.io.clock = () -> now;
+            fixture.io.loop.post(() -> fixture.pool.releaseWithReuseDelay(fixture.pool.worker(1), first, true));
+            fixture.assertOneCallWaitsForReuse(first);
         }
     }
 
-    /** A worker that gets jobs without a pause: resting links were dialled round without end, and it carried 5,800 jobs/s in place of 14,200. */
+    /**
+     * A worker gets jobs without a pause: new connections were opened again and again while others were in their reuse delay, and the
+     * throughput was 5,800 jobs/s instead of 14,200.
+     */
     @Test
     void longestIdleConnectionIsReused() throws Exception {
-        try (ConnectionPoolFixture pool = new ConnectionPoolFixture()) {
+        try (ConnectionPoolFixture fixture = new ConnectionPoolFixture()) {
             List<OutboundConnection> all = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                pool.acquire();
-                all.add(pool.acquired.take());
+                fixture.acquire();
+                all.add(fixture.acquired.take());
             }
             long now = System.nanoTime();
-            pool.io.clock = () -> now;
-            for (OutboundConnection link : all) {
-                pool.io.loop.post(() -> pool.pool.releaseWithReuseDelay(pool.pool.worker(1), link, true));
+            fixture.io.clock = () -> now;
+            for (OutboundConnection connection : all) {
+                fixture.io.loop.post(() -> fixture.pool.releaseWithReuseDelay(fixture.pool.worker(1), connection, true));
             }
-            pool.acquire();
-            assertTrue(all.contains(pool.acquired.take()), "no dial, and no wait");
-            assertEquals(4, pool.invariants.counted("egress dials"));
+            fixture.acquire();
+            assertTrue(all.contains(fixture.acquired.take()), "no new connection and no wait");
+            assertEquals(4, fixture.invariants.counted("egress dials"));
         }
     }
 
-    /** A check's second answer that is no 200 could be a job's: it ended one as failed, and left it running. */
+    /** A duplicate response to a probe other than 200 could be a job's: it ended a job as failed while the worker still ran it. */
     @Test
     void connectionOfFailedProbeAlsoWaitsForReuse() throws Exception {
-        try (ConnectionPoolFixture pool = new ConnectionPoolFixture()) {
+        try (ConnectionPoolFixture fixture = new ConnectionPoolFixture()) {
             CountDownLatch ended = new CountDownLatch(1);
-            pool.io.loop.post(() -> new HttpCall(pool.io.loop, pool.pool, pool.invariants, 20_000_000, pool.pool.worker(1), "GET", "/healthz",
+            fixture.io.loop.post(() -> new HttpCall(fixture.io.loop, fixture.pool, fixture.invariants, 20_000_000, fixture.pool.worker(1), "GET", "/healthz",
                     WorkerConnectionPool.REUSE_SETTLED) {
                 @Override
-                public void connected(OutboundConnection link) {
-                    pool.acquired.add(link);
-                    super.connected(link);
+                public void connected(OutboundConnection connection) {
+                    fixture.acquired.add(connection);
+                    super.connected(connection);
                 }
 
                 @Override
@@ -238,67 +242,68 @@
                     ended.countDown();
                 }
             }.start());
-            try (Socket w = pool.workerListener.accept()) {
-                receive(w);
+            try (Socket worker = fixture.workerListener.accept()) {
+                receive(worker);
                 long now = System.nanoTime();
-                pool.io.clock = () -> now;
-                send(w, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                fixture.io.clock = () -> now;
+                send(worker, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                 ended.await();
-                pool.assertOneCallWaitsForReuse(pool.acquired.take());
+                fixture.assertOneCallWaitsForReuse(fixture.acquired.take());
             }
         }
     }
 
-    /** Dials to a machine that vanished kept their descriptors for minutes, beside all that is counted. */
+    /** Connects to a machine that had disappeared kept their descriptors for minutes, outside every limit. */
     @Test
     void cancelledConnectReleasesItsDescriptor() throws Exception {
         var system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-        try (ConnectionPoolFixture.IoFixture bare = new ConnectionPoolFixture.IoFixture(); ServerSocket door = new ServerSocket(0, 1, LOOPBACK)) {
-            List<Socket> crowd = fillBacklog(door);
+        try (ConnectionPoolFixture.IoFixture io = new ConnectionPoolFixture.IoFixture(); ServerSocket listener = new ServerSocket(0, 1, LOOPBACK)) {
+            List<Socket> backlog = fillBacklog(listener);
             long before = system.getOpenFileDescriptorCount();
-            var address = new InetSocketAddress(LOOPBACK, door.getLocalPort());
-            List<OutboundConnection> dials = new ArrayList<>();
-            bare.loop.post(() -> {
+            var address = new InetSocketAddress(LOOPBACK, listener.getLocalPort());
+            List<OutboundConnection> connecting = new ArrayList<>();
+            io.loop.post(() -> {
                 for (int i = 0; i < 200; i++) {
-                    dials.add(bare.connector.connect(address, 60_000_000, new ConnectionPoolFixture.IgnoringHandler()));
+                    connecting.add(io.connector.connect(address, 60_000_000, new ConnectionPoolFixture.IgnoringHandler()));
                 }
             });
-            while (system.getOpenFileDescriptorCount() < before + 150) { // earlier tests may still give some back
+            while (system.getOpenFileDescriptorCount() < before + 150) { // earlier tests may still release some
                 Thread.onSpinWait();
             }
-            bare.loop.post(() -> dials.forEach(OutboundConnection::close));
+            io.loop.post(() -> connecting.forEach(OutboundConnection::close));
             while (system.getOpenFileDescriptorCount() > before + 50) {
                 Thread.onSpinWait();
             }
-            for (Socket s : crowd) {
+            for (Socket s : backlog) {
                 s.close();
             }
         }
     }
 
-    /** A call that is cut off before it was written whole never gets whole: its last byte would begin an attempt. */
+    /** A request that is aborted before it was written completely must stay incomplete: its last byte would start an attempt. */
     @Test
     void abortedRequestIsNeverCompleted() throws Exception {
         byte[] body = new byte[64 * 1024 * 1024];
-        try (ConnectionPoolFixture.IoFixture bare = new ConnectionPoolFixture.IoFixture(); ServerSocket door = new ServerSocket(0, 1, LOOPBACK)) {
-            bare.loop.post(() -> bare.connector.connect(new InetSocketAddress(LOOPBACK, door.getLocalPort()), 5_000_000, new ConnectionPoolFixture.IgnoringHandler() {
+        try (ConnectionPoolFixture.IoFixture io = new ConnectionPoolFixture.IoFixture(); ServerSocket listener = new ServerSocket(0, 1, LOOPBACK)) {
+            io.loop.post(() -> io.connector.connect(new InetSocketAddress(LOOPBACK, listener.getLocalPort()), 5_000_000,
+                    new ConnectionPoolFixture.IgnoringHandler() {
                 @Override
-                public void connected(OutboundConnection link) {
-                    link.sendRequest(link.requestHead("POST", "/api", null, "h"), body, this);
-                    bare.loop.post(link::close);
+                public void connected(OutboundConnection connection) {
+                    connection.sendRequest(connection.requestHead("POST", "/api", null, "h"), body, this);
+                    io.loop.post(connection::close);
                 }
             }));
-            try (Socket w = door.accept()) {
-                InputStream in = w.getInputStream();
-                long came = 0;
+            try (Socket worker = listener.accept()) {
+                InputStream in = worker.getInputStream();
+                long received = 0;
                 try {
                     for (int b = in.read(body); b >= 0; b = in.read(body)) {
-                        came += b;
+                        received += b;
                     }
                 } catch (java.net.SocketException reset) {
-                    assertTrue(came < body.length);
+                    assertTrue(received < body.length);
                 }
-                assertTrue(came < body.length, "the whole call came: " + came);
+                assertTrue(received < body.length, "the whole request arrived: " + received);
             }
         }
     }
