--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -123,7 +123,7 @@
         up.acceptanceListener(host.loop().nowUs() < ambiguousUntilUs ? up.acceptanceListener() : null);
         var from = request.httpRequest;
         var h = from.headers();
-        long leftMs = Math.max(1, (request.request.deadlineAtUs - host.loop().nowUs()) / 1000);
+        long leftMs = Math.max(1, (request.job.deadlineAtUs - host.loop().nowUs()) / 1000);
         MessageBuilder head = up.requestHead(from.method(), from.path(), from.query(), target.hostHeader())
             .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).endLine()
             .header("Idempotency-Key", h.idempotencyKey()).header("Content-Type", h.contentType())
@@ -158,7 +158,7 @@
 
     private void cancelAtWorker(Outcome outcome) {
         stage = Stage.CANCELLING;
-        boolean lastWord = request.closed || host.loop().nowUs() >= request.request.deadlineAtUs - DEADLINE_MARGIN_US;
+        boolean lastWord = request.closed || host.loop().nowUs() >= request.job.deadlineAtUs - DEADLINE_MARGIN_US;
         host.notifyCancelled(this, () -> isEnded(outcome, null, null));
         if (lastWord) {
             // Nothing more can be sent for it, so nobody need wait for the notice to be written.
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -39,7 +39,7 @@
             return;
         }
         long now = loop.nowUs();
-        long leftUs = request.request.deadlineAtUs - now;
+        long leftUs = request.job.deadlineAtUs - now;
         int number = request.attempts.size();
         WorkerEndpoint worker = egress.worker(workerId);
         boolean moot = request.closed || leftUs <= 0 || number >= active.settings().maxAttempts
@@ -79,7 +79,7 @@
                 + " ended " + outcome + " after " + elapsedUs / US_PER_MS + " ms");
         }
         Runnable tell = () -> {
-            module.attemptEnded(loop.nowUs(), request.request.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
+            module.attemptEnded(loop.nowUs(), request.job.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
             pending.removeIfFinished(request);
         };
         if (outcome == Outcome.OK) {
--- a/node/src/main/java/hookweir/net/CallbackReceiver.java
+++ b/node/src/main/java/hookweir/net/CallbackReceiver.java
@@ -87,7 +87,7 @@
     }
 
     private void progress(Attempt attempt, double share) {
-        module.progressReported(loop.nowUs(), attempt.request.request.id, attempt.number, attempt.workerId, share);
+        module.progressReported(loop.nowUs(), attempt.request.job.id, attempt.number, attempt.workerId, share);
     }
 
     /** The last attempt that the named worker may know of, or null. */
--- a/node/src/main/java/hookweir/net/JobAdmission.java
+++ b/node/src/main/java/hookweir/net/JobAdmission.java
@@ -63,7 +63,7 @@
     }
 
     private void add(PendingRequest request) {
-        Contract.Request parsed = request.request;
+        Contract.Request parsed = request.job;
         if (parsed.tenant == RequestParser.NO_TENANT) {
             invariants.count("requests of no known owner");
         }
@@ -78,7 +78,7 @@
         request.closed = true;
         figures.jobAbandoned();
         invariants.count("clients gone");
-        module.requestAbandoned(loop.nowUs(), request.request.id);
+        module.requestAbandoned(loop.nowUs(), request.job.id);
         pending.removeIfFinished(request);
     }
 
--- a/node/src/main/java/hookweir/net/PendingRequest.java
+++ b/node/src/main/java/hookweir/net/PendingRequest.java
@@ -12,7 +12,7 @@
  * {@link PendingRequests}, on the loop.
  */
 final class PendingRequest {
-    final Contract.Request request;
+    final Contract.Request job;
     final InboundRequest httpRequest;
     final InboundConnection client;
     /** In order of their numbers. */
@@ -23,7 +23,7 @@
     TimerWheel.Timer requestTimer;
 
     PendingRequest(Contract.Request request, InboundRequest from, InboundConnection client) {
-        this.request = request;
+        this.job = request;
         this.httpRequest = from;
         this.client = client;
     }
--- a/node/src/main/java/hookweir/net/PendingRequests.java
+++ b/node/src/main/java/hookweir/net/PendingRequests.java
@@ -56,7 +56,7 @@
 
     /** Holds a request. */
     void add(PendingRequest request) {
-        byNumber.put(request.request.id, request);
+        byNumber.put(request.job.id, request);
         byClientId.put(request.httpRequest.headers().id(), request);
     }
 
@@ -67,7 +67,7 @@
         }
         request.closed = true;
         invariants.count("answers " + status);
-        figures.jobCompleted(active.className(request.request.requestClass), status);
+        figures.jobCompleted(active.className(request.job.requestClass), status);
         ingress.respond(request.client, status, retryAfter, body);
     }
 
@@ -79,7 +79,7 @@
 
     /** Forgets a request that has its final answer and no attempt out. */
     void removeIfFinished(PendingRequest request) {
-        if (request.closed && request.outstandingAttempt() == null && byNumber.remove(request.request.id, request)) {
+        if (request.closed && request.outstandingAttempt() == null && byNumber.remove(request.job.id, request)) {
             byClientId.remove(request.httpRequest.headers().id(), request);
             if (request.requestTimer != null) {
                 request.requestTimer.cancel();
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -208,7 +208,7 @@
 
     /** A second attempt at it would do no harm. */
     boolean isRepeatable(PendingRequest request) {
-        return active.isRepeatable(request.request.requestClass);
+        return active.isRepeatable(request.job.requestClass);
     }
 
     /** What is known of the workers is not out of date: an attempt may begin. */
