--- a/node/src/main/java/hookweir/net/ActiveSettings.java
+++ b/node/src/main/java/hookweir/net/ActiveSettings.java
@@ -8,23 +8,25 @@
 import hookweir.room.ResourceBudget;
 import java.util.List;
 
-/** The settings in force, and what is made of them; replaced as a whole by a reload. Belongs to the {@link Loop}. */
+/** The settings in force and the objects derived from them; a reload replaces all of them. Belongs to the {@link Loop}. */
 final class ActiveSettings {
+    /** The timeout of a probe, in connect timeouts. */
     private static final int PROBE_CONNECT_TIMEOUTS = 2;
+    /** The timeout for the acceptance of a job, in connect timeouts. */
     private static final int ACCEPT_CONNECT_TIMEOUTS = 6;
 
     private final ResourceBudget budget;
-    private final Metrics figures;
+    private final Metrics metrics;
     private Contract.Settings settings;
-    /** By number. */
+    /** Indexed by class number. */
     private List<String> classNames;
     private long probeTimeoutUs;
     private RequestParser requestParser;
     private LoadReportParser loadReport;
 
-    ActiveSettings(ResourceBudget room, Metrics figures, SettingsMapping mapped) {
-        this.budget = room;
-        this.figures = figures;
+    ActiveSettings(ResourceBudget budget, Metrics metrics, SettingsMapping mapped) {
+        this.budget = budget;
+        this.metrics = metrics;
         apply(mapped);
     }
 
@@ -32,44 +34,44 @@
     void apply(SettingsMapping mapped) {
         settings = mapped.policySettings;
         classNames = mapped.classNames;
-        figures.registerClasses(List.copyOf(mapped.classNumbers.keySet()));
+        metrics.registerClasses(List.copyOf(mapped.classNumbers.keySet()));
         probeTimeoutUs = PROBE_CONNECT_TIMEOUTS * mapped.connectTimeoutUs;
         budget.setClasses(settings.classes);
         requestParser = new RequestParser(mapped.classNumbers, settings.classes, mapped.tenantNumbers);
         loadReport = new LoadReportParser(mapped.reportFields);
     }
 
-    /** The decision module's settings. */
+    /** Returns the decision module's settings. */
     Contract.Settings settings() {
         return settings;
     }
 
-    /** The name of the request class with this number. */
+    /** Returns the name of the request class with this number. */
     String className(int number) {
         return classNames.get(number);
     }
 
-    /** Parses clients' headers. */
+    /** Returns the parser for clients' headers. */
     RequestParser requestParser() {
         return requestParser;
     }
 
-    /** Parses workers' load reports. */
+    /** Returns the parser for workers' load reports. */
     LoadReportParser loadReport() {
         return loadReport;
     }
 
-    /** How long a probe, or a notice to a worker, may take. */
+    /** Returns the timeout of a probe and of a cancellation notice. */
     long probeTimeoutUs() {
         return probeTimeoutUs;
     }
 
-    /** A healthy worker says sooner than this that it took a job. */
+    /** Returns the time within which a healthy worker accepts a job. */
     long acceptTimeoutUs() {
         return ACCEPT_CONNECT_TIMEOUTS / PROBE_CONNECT_TIMEOUTS * probeTimeoutUs;
     }
 
-    /** Whether a second attempt at a request of this class does no harm. */
+    /** Returns whether a second attempt at a request of this class does no harm. */
     boolean isRepeatable(int requestClass) {
         return settings.classes.get(requestClass).idempotency != Contract.Idempotency.NON_IDEMPOTENT;
     }
--- a/node/src/main/java/hookweir/net/Attempt.java
+++ b/node/src/main/java/hookweir/net/Attempt.java
@@ -7,60 +7,62 @@
 import hookweir.timer.TimerWheel;
 
 /**
- * One attempt: from {@link SocketHost#send} to its one outcome. Owns the link that it is sent on until the
- * worker's answer is whole. Belongs to the loop.
+ * One attempt: from {@link SocketHost#send} to its single outcome. Owns the connection that it is sent on until the worker's
+ * response is complete. Belongs to the loop.
  */
 final class Attempt implements OutboundConnection.Handler, OutboundConnection.AcceptanceListener {
-    /** The answer to a call for which nobody waits any more is read for so long, to keep the link. */
+    /** How long a response that is no longer needed is still read, so that the connection can be reused. */
     private static final long LATE_RESPONSE_TIMEOUT_US = 5_000_000;
 
+    /** An attempt that fails this close to the deadline is not followed by another one. */
     private static final long DEADLINE_MARGIN_US = 1_000;
     private static final int ACCEPTED = 202;
     private static final int MIN_REDIRECT_STATUS = 300;
-    /** Kept links that break cost a repeatable job a further attempt, and the others all. */
+    /** The highest break rate of reused connections for repeatable jobs: a broken connection costs such a job one more attempt. */
     private static final double MAX_BREAK_RATE_REPEATABLE = 0.2;
+    /** The same for other jobs, which fail when the connection breaks. */
     private static final double MAX_BREAK_RATE_ONCE = 0.02;
 
     private enum Stage { CONNECTING, SENDING, SENT, ACCEPTED, CANCELLING, ENDED }
 
     final PendingRequest request;
     final int workerId;
-    /** Null where the list names no such worker; then nothing is ever sent. */
+    /** Null if the worker is not on the list; nothing is sent then. */
     final WorkerEndpoint target;
     final int number;
     private final SocketHost host;
-    private final WorkerConnectionPool egress;
+    private final WorkerConnectionPool workerConnections;
     private final long startUs;
     private Stage stage = Stage.CONNECTING;
     private OutboundConnection connection;
     private TimerWheel.Timer timeoutTimer;
-    /** The wait for a 202, then for the end of an answer that nobody needs. */
+    /** Limits the wait for a 202, then the wait for the end of a response that is no longer needed. */
     private TimerWheel.Timer responseTimer;
-    /** An answer before this may be the second one to an earlier call on the link. */
+    /** A response before this time may be a duplicate response to an earlier request on the connection. */
     private long ambiguousUntilUs;
-    /** A refusal or failure that may be an earlier call's: it waits to be told from one. */
+    /** A rejection or error that may belong to an earlier request; it is held back until it can be attributed. */
     private OutboundConnection.ResponsePart ambiguousResponse;
-    /** The link whose 202 may have been an earlier call's, until a call-back shows that the worker has the job. */
+    /** The connection whose 202 may belong to an earlier request, until a callback shows that the worker has the job. */
     private OutboundConnection ambiguousConnection;
 
-    Attempt(SocketHost host, WorkerConnectionPool egress, PendingRequest pending, int workerId, WorkerEndpoint target, int number,
+    Attempt(SocketHost host, WorkerConnectionPool workerConnections, PendingRequest request, int workerId, WorkerEndpoint target, int number,
             long startUs) {
         this.host = host;
-        this.egress = egress;
-        this.request = pending;
+        this.workerConnections = workerConnections;
+        this.request = request;
         this.workerId = workerId;
         this.target = target;
         this.number = number;
         this.startUs = startUs;
     }
 
-    /** Sends it; stops waiting after so long. */
-    void start(long withinUs) {
-        timeoutTimer = host.loop().schedule(withinUs, () -> abandon(Outcome.TIMEOUT));
+    /** Sends the attempt, and abandons it after the timeout. */
+    void start(long timeoutUs) {
+        timeoutTimer = host.loop().schedule(timeoutUs, () -> abandon(Outcome.TIMEOUT));
         if (number == 0) {
             requestConnection();
         } else {
-            // What lies unread is heard before a further attempt: its client may have left, or its worker been announced as leaving.
+            // Unread data is processed before a further attempt: the client may have disconnected, or the worker may be draining.
             host.loop().afterIoRound(() -> {
                 if (needsConnection()) {
                     requestConnection();
@@ -70,160 +72,162 @@
     }
 
     private void requestConnection() {
-        OutboundConnection got = egress.acquire(target, this, host.isRepeatable(request) ? MAX_BREAK_RATE_REPEATABLE : MAX_BREAK_RATE_ONCE);
-        if (got != null && !isEnded()) {
-            connection = got;
+        OutboundConnection assigned = workerConnections.acquire(target, this, host.isRepeatable(request) ? MAX_BREAK_RATE_REPEATABLE : MAX_BREAK_RATE_ONCE);
+        if (assigned != null && !isEnded()) {
+            connection = assigned;
         }
     }
 
-    /** Nothing of it was sent, and it may still be: else it is over. */
+    /** Returns whether the unsent attempt may still be sent; ends it otherwise. */
     @Override
     public boolean needsConnection() {
         if (stage == Stage.CONNECTING && !target.isReady()) {
-            // Guards rule 3: a drain counts from a send's first byte, and the wait for a link took its time.
-            isEnded(Outcome.CONNECT_FAILED, null, null);
+            // Rule 3, no new work for a draining worker, applies to the first byte sent, and the worker may have started to drain
+            // during the wait for a connection.
+            finish(Outcome.CONNECT_FAILED, null, null);
         } else if (stage == Stage.CONNECTING && request.closed) {
-            // Its client left meanwhile: where attempts can't be called off, none is begun any more.
-            isEnded(Outcome.MOOT, null, null);
+            // The client disconnected meanwhile. Even where attempts can't be cancelled, none is started for it any more.
+            finish(Outcome.MOOT, null, null);
         } else if (stage == Stage.CONNECTING && !host.mayStartAttempt()) {
-            // The wait outlasted the lease on the list: its worker may have been announced as leaving.
-            isEnded(Outcome.MOOT, null, null);
+            // The lease on the worker list expired during the wait: the worker may be draining.
+            finish(Outcome.MOOT, null, null);
         }
         return stage == Stage.CONNECTING;
     }
 
     @Override
     public void connectionUnavailable() {
-        isEnded(Outcome.CONNECT_FAILED, null, null);
+        finish(Outcome.CONNECT_FAILED, null, null);
     }
 
-    /** Ends it before anything of it left: it went to no target. */
+    /** Ends the attempt before anything was sent. */
     void endUnsent(Outcome outcome) {
-        isEnded(outcome, null, null);
+        finish(outcome, null, null);
     }
 
     boolean isEnded() {
         return stage == Stage.ENDED;
     }
 
-    /** The worker may know of it: call-backs can be meant for it. */
+    /** Returns whether the worker may know of the attempt, so that callbacks can refer to it. */
     boolean isSent() {
         return stage != Stage.CONNECTING && stage != Stage.ENDED;
     }
 
     @Override
-    public void connected(OutboundConnection up) {
-        connection = up;
+    public void connected(OutboundConnection opened) {
+        connection = opened;
         if (!needsConnection()) {
-            egress.release(target, up, true);
+            workerConnections.release(target, opened, true);
             return;
         }
         stage = Stage.SENDING;
-        ambiguousUntilUs = up.duplicateResponseUntilUs;
-        up.acceptanceListener(host.loop().nowUs() < ambiguousUntilUs ? up.acceptanceListener() : null);
-        var from = request.httpRequest;
-        var h = from.headers();
-        long leftMs = Math.max(1, (request.job.deadlineAtUs - host.loop().nowUs()) / 1000);
-        MessageBuilder head = up.requestHead(from.method(), from.path(), from.query(), target.hostHeader())
-            .header("Req-Id", h.id()).header("Req-Kind", h.kind()).add("Req-Deadline-Ms: ").add(leftMs).endLine()
-            .header("Idempotency-Key", h.idempotencyKey()).header("Content-Type", h.contentType())
-            .add("Content-Length: ").add(from.body().length).endLine();
-        up.sendRequest(head, from.body(), this);
+        ambiguousUntilUs = opened.duplicateResponseUntilUs;
+        opened.acceptanceListener(host.loop().nowUs() < ambiguousUntilUs ? opened.acceptanceListener() : null);
+        var httpRequest = request.httpRequest;
+        var headers = httpRequest.headers();
+        long remainingMs = Math.max(1, (request.job.deadlineAtUs - host.loop().nowUs()) / 1000);
+        MessageBuilder head = opened.requestHead(httpRequest.method(), httpRequest.path(), httpRequest.query(), target.hostHeader())
+            .header("Req-Id", headers.id()).header("Req-Kind", headers.kind()).add("Req-Deadline-Ms: ").add(remainingMs).endLine()
+            .header("Idempotency-Key", headers.idempotencyKey()).header("Content-Type", headers.contentType())
+            .add("Content-Length: ").add(httpRequest.body().length).endLine();
+        opened.sendRequest(head, httpRequest.body(), this);
     }
 
     @Override
-    public void requestWritten(OutboundConnection l) {
+    public void requestWritten(OutboundConnection outbound) {
         host.attemptWritten();
         if (stage == Stage.SENDING) {
             stage = Stage.SENT;
             if (host.isRepeatable(request)) {
-                // Guards against a machine that vanished or a process that hangs, while another can still do the job.
-                startResponseTimer(host.acceptTimeoutUs(), () -> host.loop().afterIoRound(this::acceptTimedOut)); // a 202 that lies unread counts
+                // If the worker has crashed or hangs, another one can still run the job.
+                startResponseTimer(host.acceptTimeoutUs(), () -> host.loop().afterIoRound(this::acceptTimedOut)); // an unread 202 still counts
             }
         }
     }
 
-    /** A 202 may be on its way, and then closing the connection gives nothing up: the worker is told before another attempt begins. */
+    /** A 202 may be on its way, and then closing the connection does not cancel the job: the worker is notified before a retry. */
     private void acceptTimedOut() {
         if (stage == Stage.SENT) {
-            egress.abort(connection);
+            workerConnections.abort(connection);
             detachConnection();
             if (host.canCancelAttempts()) {
                 cancelAtWorker(Outcome.TIMEOUT);
             } else {
-                isEnded(Outcome.TIMEOUT, null, null);
+                finish(Outcome.TIMEOUT, null, null);
             }
         }
     }
 
     private void cancelAtWorker(Outcome outcome) {
         stage = Stage.CANCELLING;
-        boolean lastWord = request.closed || host.loop().nowUs() >= request.job.deadlineAtUs - DEADLINE_MARGIN_US;
-        host.notifyCancelled(this, () -> isEnded(outcome, null, null));
-        if (lastWord) {
-            // Nothing more can be sent for it, so nobody need wait for the notice to be written.
-            isEnded(outcome, null, null);
+        boolean finalNotice = request.closed || host.loop().nowUs() >= request.job.deadlineAtUs - DEADLINE_MARGIN_US;
+        host.notifyCancelled(this, () -> finish(outcome, null, null));
+        if (finalNotice) {
+            // No further attempt follows, so there is no need to wait until the notice is written.
+            finish(outcome, null, null);
         }
     }
 
     @Override
-    public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
-        int status = piece.status();
+    public void responsePart(OutboundConnection outbound, OutboundConnection.ResponsePart part) {
+        int status = part.status();
         boolean waiting = stage == Stage.SENDING || stage == Stage.SENT;
         if (status < MIN_REDIRECT_STATUS && status != ACCEPTED) {
-            // No answer to a job: a second one to the check that this link carried before. The job's own is yet to come.
-            egress.countUnmatchedResponse();
-            if (piece.isLast()) {
-                l.expectAnotherResponse();
+            // Not a response to a job, but a duplicate response to the probe sent earlier on this connection. The response to the job
+            // is still to come.
+            workerConnections.countUnmatchedResponse();
+            if (part.isLast()) {
+                outbound.expectAnotherResponse();
             }
             return;
         }
         if (waiting && status == ACCEPTED) {
-            // The head tells it: what may be missing of the body must not make a reset of a job that was taken.
+            // The head is enough: a body cut short must not turn an accepted job into a reset.
             stage = Stage.ACCEPTED;
-            closeAfterTimeout(l);
+            closeAfterTimeout(outbound);
         }
-        if (!piece.isLast()) {
+        if (!part.isLast()) {
             return;
         }
-        boolean doubtful = host.loop().nowUs() < ambiguousUntilUs;
-        if (waiting && doubtful && status != ACCEPTED) {
-            ambiguousResponse = piece;
-            startResponseTimer(ambiguousUntilUs - host.loop().nowUs(), () -> handleResponse(l, piece));
+        boolean ambiguous = host.loop().nowUs() < ambiguousUntilUs;
+        if (waiting && ambiguous && status != ACCEPTED) {
+            ambiguousResponse = part;
+            startResponseTimer(ambiguousUntilUs - host.loop().nowUs(), () -> handleResponse(outbound, part));
             return;
         }
-        if (waiting && doubtful) {
-            ambiguousConnection = l;
-            l.acceptanceListener(this);
+        if (waiting && ambiguous) {
+            ambiguousConnection = outbound;
+            outbound.acceptanceListener(this);
         }
-        handleResponse(l, piece);
+        handleResponse(outbound, part);
     }
 
-    /** The answer is this attempt's. */
-    private void handleResponse(OutboundConnection l, OutboundConnection.ResponsePart piece) {
-        boolean refused = stage == Stage.SENDING || stage == Stage.SENT;
+    /** Handles the response to this attempt. */
+    private void handleResponse(OutboundConnection outbound, OutboundConnection.ResponsePart part) {
+        boolean rejected = stage == Stage.SENDING || stage == Stage.SENT;
         ambiguousResponse = null;
-        egress.recordOutcome(l, false);
-        egress.releaseWithReuseDelay(target, l, piece.keepAlive());
+        workerConnections.recordOutcome(outbound, false);
+        workerConnections.releaseWithReuseDelay(target, outbound, part.keepAlive());
         detachConnection();
-        if (!refused) {
+        if (!rejected) {
             return;
         }
-        if ((piece.status() == 503 || piece.status() == 504) && piece.declined()) {
-            isEnded(Outcome.FULL, host.parseLoadReport(piece.load()), null);
+        if ((part.status() == 503 || part.status() == 504) && part.declined()) {
+            finish(Outcome.FULL, host.parseLoadReport(part.load()), null);
         } else {
-            isEnded(Outcome.ERROR, host.parseLoadReport(piece.load()), null);
+            finish(Outcome.ERROR, host.parseLoadReport(part.load()), null);
         }
     }
 
-    /** Two answers came to this attempt and the one before it on the link: nobody knows which is whose. */
+    /** Two responses arrived for this attempt and the request before it on the connection; they can't be told apart. */
     @Override
-    public void unexpectedResponse(OutboundConnection l, int status) {
-        // The one that was held decides where the other is a 202: either may be the earlier call's.
-        egress.duplicateResponse(target, l, ambiguousResponse == null ? status : ambiguousResponse.status());
+    public void unexpectedResponse(OutboundConnection outbound, int status) {
+        // The response held back counts, even if the new one is a 202: either may belong to the earlier request.
+        workerConnections.duplicateResponse(target, outbound, ambiguousResponse == null ? status : ambiguousResponse.status());
     }
 
-    /** The 202 may have been another's and the worker may not have the job: as if the connection had broken before it. */
+    /** The 202 may belong to another request and the worker may not have the job: treated as a connection lost before the 202. */
     @Override
     public void acceptanceInDoubt() {
         if (stage != Stage.ACCEPTED) {
@@ -232,11 +236,11 @@
         if (host.canCancelAttempts()) {
             cancelAtWorker(Outcome.RESET);
         } else {
-            isEnded(Outcome.RESET, null, null);
+            finish(Outcome.RESET, null, null);
         }
     }
 
-    /** A call-back shows that the worker has the job. */
+    /** Records that a callback showed that the worker has the job. */
     void confirmAcceptance() {
         if (ambiguousConnection != null && ambiguousConnection.acceptanceListener() == this) {
             ambiguousConnection.acceptanceListener(null);
@@ -245,49 +249,49 @@
     }
 
     @Override
-    public void disconnected(OutboundConnection l) {
-        egress.recordOutcome(l, true);
-        egress.closeGracefully(l);
+    public void disconnected(OutboundConnection outbound) {
+        workerConnections.recordOutcome(outbound, true);
+        workerConnections.closeGracefully(outbound);
         detachConnection();
         if (stage == Stage.CONNECTING || stage == Stage.SENDING) {
-            isEnded(Outcome.CONNECT_FAILED, null, null);
+            finish(Outcome.CONNECT_FAILED, null, null);
         } else if (stage == Stage.SENT) {
-            isEnded(Outcome.RESET, null, null);
+            finish(Outcome.RESET, null, null);
         }
     }
 
-    /** A call-back that ends it. */
+    /** Ends the attempt with the outcome given in a callback. */
     void endByCallback(Outcome outcome, Report report, byte[] result) {
         if (ambiguousResponse != null) {
-            // The worker had taken it, so the answer that is held was another's.
-            OutboundConnection l = connection;
-            egress.duplicateResponse(target, l, ambiguousResponse.status());
+            // The worker had accepted the job, so the response held back belongs to another request.
+            OutboundConnection misused = connection;
+            workerConnections.duplicateResponse(target, misused, ambiguousResponse.status());
             detachConnection();
-            egress.closeGracefully(l);
+            workerConnections.closeGracefully(misused);
         } else if (connection != null && !isEnded()) {
-            closeAfterTimeout(connection); // it came before the 202
+            closeAfterTimeout(connection); // the callback arrived before the 202
         }
-        isEnded(outcome, report, result);
+        finish(outcome, report, result);
     }
 
-    /** An answer that nobody needs any more is still read for the link's sake, but not for ever. */
-    private void closeAfterTimeout(OutboundConnection kept) {
+    /** Closes the connection if the response, which is no longer needed, is not complete within the timeout. */
+    private void closeAfterTimeout(OutboundConnection current) {
         startResponseTimer(LATE_RESPONSE_TIMEOUT_US, () -> {
-            if (connection == kept) {
+            if (connection == current) {
                 detachConnection();
-                egress.closeGracefully(kept);
+                workerConnections.closeGracefully(current);
             }
         });
     }
 
-    private void startResponseTimer(long us, Runnable then) {
+    private void startResponseTimer(long timeoutUs, Runnable onTimeout) {
         if (responseTimer != null) {
             responseTimer.cancel();
         }
-        responseTimer = host.loop().schedule(us, then);
+        responseTimer = host.loop().schedule(timeoutUs, onTimeout);
     }
 
-    /** The link is no longer this attempt's, and so is nothing to wait for on it. */
+    /** Gives up ownership of the connection and stops waiting for a response on it. */
     private void detachConnection() {
         connection = null;
         ambiguousResponse = null;
@@ -296,24 +300,24 @@
         }
     }
 
-    /** Stops waiting for it, and lets the worker know. */
+    /** Stops waiting for the attempt, and notifies the worker if it accepted the job. */
     void abandon(Outcome outcome) {
         switch (stage) {
             case CONNECTING -> {
-                // A dial that comes up late all the same is kept for the next attempt.
-                isEnded(outcome, null, null);
+                // A connection that opens later is kept for the next attempt.
+                finish(outcome, null, null);
             }
             case SENDING, SENT -> {
-                egress.abort(connection);
+                workerConnections.abort(connection);
                 detachConnection();
-                isEnded(outcome, null, null);
+                finish(outcome, null, null);
             }
             case ACCEPTED -> cancelAtWorker(outcome);
             default -> { }
         }
     }
 
-    private void isEnded(Outcome outcome, Report report, byte[] result) {
+    private void finish(Outcome outcome, Report report, byte[] result) {
         if (stage == Stage.ENDED) {
             return;
         }
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -6,7 +6,7 @@
 import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.net.worker.WorkerEndpoint;
 
-/** Sends attempts to workers, cancels them, and tells the decision module how each ended. Belongs to the {@link Loop}. */
+/** Sends attempts to workers, cancels them, and reports their outcomes to the decision module. Belongs to the {@link Loop}. */
 final class AttemptSender {
     private static final long US_PER_MS = 1_000;
 
@@ -15,36 +15,36 @@
     private final Invariants invariants;
     private final EventLog events;
     private final ActiveSettings active;
-    private final WorkerConnectionPool egress;
+    private final WorkerConnectionPool workerConnections;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
 
-    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, WorkerConnectionPool egress, PendingRequests held,
+    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, WorkerConnectionPool workerConnections, PendingRequests pending,
             Contract.Dispatcher module) {
         this.host = host;
         this.loop = loop;
         this.invariants = invariants;
         this.events = events;
         this.active = active;
-        this.egress = egress;
-        this.pending = held;
+        this.workerConnections = workerConnections;
+        this.pending = pending;
         this.module = module;
     }
 
-    /** Sends a request to a worker, and gives the attempt up after so long; 0 means at the request's deadline. */
-    void send(int requestId, int workerId, long withinUs) {
+    /** Sends a request to a worker and abandons the attempt after the timeout; 0 stands for the request's deadline. */
+    void send(int requestId, int workerId, long timeoutUs) {
         PendingRequest request = pending.byNumber(requestId);
         if (!invariants.check(request != null, "send for an unknown request")) {
             loop.post(() -> module.attemptEnded(loop.nowUs(), requestId, 0, workerId, Outcome.MOOT, 0, true, null));
             return;
         }
         long now = loop.nowUs();
-        long leftUs = request.job.deadlineAtUs - now;
+        long remainingUs = request.job.deadlineAtUs - now;
         int number = request.attempts.size();
-        WorkerEndpoint worker = egress.worker(workerId);
-        boolean moot = request.closed || leftUs <= 0 || number >= active.settings().maxAttempts
+        WorkerEndpoint worker = workerConnections.worker(workerId);
+        boolean moot = request.closed || remainingUs <= 0 || number >= active.settings().maxAttempts
             || !invariants.check(active.settings().concurrentAttemptsAllowed || request.outstandingAttempt() == null, "two attempts out at once");
-        Attempt attempt = new Attempt(host, egress, request, workerId, moot ? null : worker, number, now);
+        Attempt attempt = new Attempt(host, workerConnections, request, workerId, moot ? null : worker, number, now);
         request.attempts.add(attempt);
         if (number > 0) {
             events.log(() -> "request " + request.clientId() + " retry: attempt " + number + " to " + workerName(worker, workerId));
@@ -54,7 +54,7 @@
         } else if (worker == null) {
             attempt.endUnsent(Outcome.CONNECT_FAILED);
         } else {
-            attempt.start(withinUs > 0 ? Math.min(withinUs, leftUs) : leftUs);
+            attempt.start(timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs);
         }
     }
 
@@ -62,7 +62,7 @@
         return worker == null ? "unlisted worker " + Integer.toHexString(workerId) : worker.name;
     }
 
-    /** Cancels an attempt, if it is still out. */
+    /** Cancels an attempt that has not ended yet. */
     void cancel(int requestId, int number) {
         PendingRequest request = pending.byNumber(requestId);
         if (request != null && number >= 0 && number < request.attempts.size()) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The one end of every attempt: answers the client if the job was done, then tells the decision module. */
+    /** Called once when an attempt ends: responds to the client if the job is done, then notifies the decision module. */
     void attemptEnded(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
         PendingRequest request = attempt.request;
         invariants.count("attempts " + outcome);
@@ -78,31 +78,31 @@
             events.log(() -> "request " + request.clientId() + " attempt " + attempt.number + " at " + workerName(attempt.target, attempt.workerId)
                 + " ended " + outcome + " after " + elapsedUs / US_PER_MS + " ms");
         }
-        Runnable tell = () -> {
+        Runnable notifyModule = () -> {
             module.attemptEnded(loop.nowUs(), request.job.id, attempt.number, attempt.workerId, outcome, elapsedUs, request.closed, report);
             pending.removeIfFinished(request);
         };
         if (outcome == Outcome.OK) {
-            // Only a call-back ends an attempt so, and no call-back comes inside a call of the module: it is told at once, or it
-            // could decide on a job that was done a moment ago.
+            // Only a callback ends an attempt with OK, and no callback is handled inside a call of the module. The module is notified
+            // at once; otherwise it could make a decision about a job that has just been done.
             pending.respond(request, HttpStatus.OK, null, result);
-            tell.run();
+            notifyModule.run();
         } else {
-            loop.post(tell);
+            loop.post(notifyModule);
         }
     }
 
-    /** Tells a worker that an attempt that it took is given up; runs the task once that is on its way, or can't be. */
+    /** Notifies a worker that an attempt it accepted is cancelled; runs the task once the notice is sent or can't be sent. */
     void notifyCancelled(Attempt attempt, Runnable after) {
         String path = "/jobs/" + attempt.request.httpRequest.headers().id();
-        new HttpCall(loop, egress, invariants, active.probeTimeoutUs(), attempt.target, "DELETE", path, WorkerConnectionPool.REUSE_ANY) {
+        new HttpCall(loop, workerConnections, invariants, active.probeTimeoutUs(), attempt.target, "DELETE", path, WorkerConnectionPool.REUSE_ANY) {
             @Override
             void onWritten() {
                 after.run();
             }
 
             @Override
-            void onEnd(Outcome outcome, OutboundConnection.ResponsePart last, byte[] body) {
+            void onEnd(Outcome outcome, OutboundConnection.ResponsePart lastPart, byte[] body) {
                 after.run();
             }
         }.start();
--- a/node/src/main/java/hookweir/net/CallbackReceiver.java
+++ b/node/src/main/java/hookweir/net/CallbackReceiver.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /**
- * Receives workers' call-backs about jobs, and passes those on that belong to another process of this scheduler. Belongs to
+ * Receives callbacks about jobs from workers, and forwards those that belong to a peer process of this scheduler. Belongs to
  * the {@link Loop}.
  */
 final class CallbackReceiver {
@@ -20,40 +20,40 @@
     private final Loop loop;
     private final Invariants invariants;
     private final ActiveSettings active;
-    private final HttpServer ingress;
+    private final HttpServer server;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final PeerProcesses succession;
 
-    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, HttpServer ingress, PendingRequests held,
+    CallbackReceiver(Loop loop, Invariants invariants, ActiveSettings active, HttpServer server, PendingRequests pending,
             Contract.Dispatcher module, PeerProcesses succession) {
         this.loop = loop;
         this.invariants = invariants;
         this.active = active;
-        this.ingress = ingress;
-        this.pending = held;
+        this.server = server;
+        this.pending = pending;
         this.module = module;
         this.succession = succession;
     }
 
-    /** Receives and answers a call-back. One of another process is answered once that process has it. */
-    void receive(InboundConnection from, byte[] body) {
+    /** Handles a callback and responds to it. The response to a forwarded one is sent once the peer process has received it. */
+    void receive(InboundConnection connection, byte[] body) {
         Callback callback = Callback.parse(body);
         if (callback == null) {
             invariants.count("ingress bad call-back");
-            ingress.respond(from, HttpStatus.BAD_REQUEST, null, NO_BODY);
+            server.respond(connection, HttpStatus.BAD_REQUEST, null, NO_BODY);
         } else if (pending.isKnown(callback.id())) {
-            ingress.respond(from, HttpStatus.NO_CONTENT, null, NO_BODY);
+            server.respond(connection, HttpStatus.NO_CONTENT, null, NO_BODY);
             apply(callback);
         } else {
             succession.forwardCallback(body, null, known -> {
                 invariants.count(known ? "call-backs for a neighbour" : "call-backs for nothing");
-                ingress.respond(from, HttpStatus.NO_CONTENT, null, NO_BODY);
+                server.respond(connection, HttpStatus.NO_CONTENT, null, NO_BODY);
             });
         }
     }
 
-    /** Receives a call-back from another process; the verdict says whether it was known here, or further on. */
+    /** Handles a callback forwarded by a peer process; the verdict is whether its job is known here or to a further process. */
     void receiveForwarded(byte[] body, PeerConnection from, Consumer<Boolean> verdict) {
         Callback callback = Callback.parse(body);
         if (callback != null && pending.isKnown(callback.id())) {
@@ -69,7 +69,7 @@
         PendingRequest request = pending.byClientId(callback.id());
         Attempt attempt = request == null ? null : lastAttemptAt(request, callback.workerId());
         if (attempt == null) {
-            // Repeated, late, or not from the worker that has the job: answered, but nothing comes of it.
+            // Duplicate, late, or not from the worker that has the job: acknowledged, but ignored.
             invariants.count("call-backs for nothing");
             return;
         }
@@ -90,7 +90,7 @@
         module.progressReported(loop.nowUs(), attempt.request.job.id, attempt.number, attempt.workerId, share);
     }
 
-    /** The last attempt that the named worker may know of, or null. */
+    /** Returns the last attempt that the named worker may know of, or null. */
     private static Attempt lastAttemptAt(PendingRequest request, String worker) {
         Attempt last = null;
         for (int i = 0; i < request.attempts.size(); i++) {
--- a/node/src/main/java/hookweir/net/Connector.java
+++ b/node/src/main/java/hookweir/net/Connector.java
@@ -18,7 +18,7 @@
 import org.glassfish.grizzly.filterchain.TransportFilter;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 
-/** Opens {@link OutboundConnection}s over one filter chain: transport, and a filter that reads answers. */
+/** Opens {@link OutboundConnection}s. All share one filter chain: the transport, and a filter that reads responses. */
 public final class Connector {
     private static final Attribute<OutboundConnection> CONNECTION = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("hookweir.link");
 
@@ -36,38 +36,38 @@
         connectorHandler = TCPNIOConnectorHandler.builder(transport.tcp()).processor(chain).build();
     }
 
-    /** Dials; the handler hears of the link when it is up, or that it is down at the latest after the limit. */
+    /** Connects; the handler is notified when the connection is open or has failed, at the latest after the timeout. */
     @SuppressWarnings("rawtypes") // the connector's own signature
-    public OutboundConnection connect(InetSocketAddress to, long limitUs, OutboundConnection.Handler handler) {
-        OutboundConnection link = new OutboundConnection(loop, transport, limitUs, handler);
-        GrizzlyFuture<Connection> dial = connectorHandler.connect(to);
-        link.setConnectFuture(dial);
-        dial.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
+    public OutboundConnection connect(InetSocketAddress to, long timeoutUs, OutboundConnection.Handler handler) {
+        OutboundConnection outbound = new OutboundConnection(loop, transport, timeoutUs, handler);
+        GrizzlyFuture<Connection> future = connectorHandler.connect(to);
+        outbound.setConnectFuture(future);
+        future.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
-            public void completed(Connection c) {
-                CONNECTION.set(c, link);
-                c.addCloseListener((CloseListener<Closeable, CloseType>) (closeable, type) -> link.connectionEnded());
-                link.connected(c);
+            public void completed(Connection opened) {
+                CONNECTION.set(opened, outbound);
+                opened.addCloseListener((CloseListener<Closeable, CloseType>) (closeable, type) -> outbound.connectionEnded());
+                outbound.connected(opened);
             }
 
             @Override
             public void failed(Throwable t) {
-                link.connectionEnded();
+                outbound.connectionEnded();
             }
         });
-        return link;
+        return outbound;
     }
 
-    /** Runs on the selector: hands pieces of answers to the link they belong to. */
+    /** Runs on the selector thread: passes received bytes to the connection they belong to. */
     private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            OutboundConnection link = CONNECTION.get(ctx.getConnection());
+            OutboundConnection outbound = CONNECTION.get(ctx.getConnection());
             Buffer in = ctx.getMessage();
-            int n = in.remaining();
+            int length = in.remaining();
             byte[] bytes = transport.copyReceived(in);
             loop.now(() -> {
-                if (link == null || !link.read(bytes, n)) {
+                if (outbound == null || !outbound.read(bytes, length)) {
                     ctx.getConnection().closeSilently();
                 }
             });
--- a/node/src/main/java/hookweir/net/EventLog.java
+++ b/node/src/main/java/hookweir/net/EventLog.java
@@ -5,14 +5,14 @@
 import java.util.function.Supplier;
 
 /**
- * Logs single events with what they concern: calls to the list service, retries, refusals and closes with their reasons. A token
- * bucket bounds it to {@value #BURST_LINES} lines at once and {@value #LINES_PER_S} a second, so that a storm neither fills a disk nor takes
- * the processor; what is left out is counted. Belongs to the {@link Loop}.
+ * Logs individual events with their details: calls to the list service, retries, rejections and closed connections with their
+ * reasons. A token bucket limits it to a burst of {@value #BURST_LINES} lines and {@value #LINES_PER_S} lines per second, so that
+ * a flood of events neither fills the disk nor uses up the CPU; dropped lines are counted. Belongs to the {@link Loop}.
  */
 public final class EventLog {
-    /** Lines that may be logged at once. */
+    /** The maximum number of lines logged in a burst. */
     static final int BURST_LINES = 200;
-    /** Lines a second in the long run. */
+    /** The maximum average number of lines per second. */
     static final int LINES_PER_S = 20;
     private static final double US_PER_S = 1e6;
 
@@ -23,7 +23,7 @@
     private long refilledUs;
 
     /**
-     * An empty log.
+     * Creates a log with a full token bucket.
      *
      * @param nowUs the clock, in µs
      */
@@ -34,7 +34,7 @@
         refilledUs = startedUs;
     }
 
-    /** Logs an event, with the seconds since the start; its text is only made where it is logged. */
+    /** Logs an event with the seconds since the start; the text is only built if the event is logged. */
     public void log(Supplier<String> text) {
         long now = nowUs.getAsLong();
         tokens = Math.min(BURST_LINES, tokens + (now - refilledUs) * LINES_PER_S / US_PER_S);
--- a/node/src/main/java/hookweir/net/HalfClose.java
+++ b/node/src/main/java/hookweir/net/HalfClose.java
@@ -6,18 +6,18 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The first half of a lingering close. A close over bytes that nobody read resets the connection, and what was written
- * before may be lost with it; so the output is shut, the rest of the input is read and dropped until the peer's end or a
- * bound, and only then the connection is closed. Whoever owns the connection reads and bounds.
+ * The first step of a lingering close. Closing a connection with unread input resets it, which may discard data written before.
+ * Therefore the output is shut down first, remaining input is read and discarded until the peer closes or a time limit, and only
+ * then the connection is closed. The owner of the connection reads the input and applies the limit.
  */
 public final class HalfClose {
-    /** A peer has so long to read its answer and to end its side. */
+    /** The time that a peer has to read its response and to close its side. */
     public static final long LINGER_US = 500_000;
 
     private HalfClose() {
     }
 
-    /** Tells the peer that nothing more comes; false where the connection is gone already, and is closed. */
+    /** Shuts down the output. Returns false, and closes the connection, if it is already broken. */
     public static boolean shutdownOutput(Connection<?> c) {
         try {
             ((SocketChannel) ((NIOConnection) c).getChannel()).shutdownOutput();
--- a/node/src/main/java/hookweir/net/HttpCall.java
+++ b/node/src/main/java/hookweir/net/HttpCall.java
@@ -7,22 +7,22 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * A short call without a body, on a link of the target's pool: a probe or a notice. It ends once for who waits for it, at
- * the latest by its limit, and may hold its link for longer. Belongs to the loop.
+ * A single HTTP request without a body to a worker, on a pooled connection: a probe or a cancellation notice. It reports one
+ * outcome, at the latest after its timeout, and may use its connection for longer. Belongs to the loop.
  */
 abstract class HttpCall implements OutboundConnection.Handler {
     private static final byte[] EMPTY_BODY = new byte[0];
-    /** The method of a probe; a notice has another. */
+    /** The method of a probe; a cancellation notice uses another one. */
     private static final String PROBE_METHOD = "GET";
-    /** An answer later than the limit is read to keep the link, for so many limits. */
+    /** A late response is still read, so that the connection can be reused, until this multiple of the timeout. */
     private static final int READ_TIMEOUT_FACTOR = 4;
 
-    /** Of the call; it goes back to the first where a kept link broke under it. */
+    /** The progress of the request; it returns to the first stage if a reused connection broke. */
     private enum Stage { CONNECTING, SENDING, SENT, RESPONDED }
 
     final long startUs;
     private final Loop loop;
-    private final WorkerConnectionPool egress;
+    private final WorkerConnectionPool workerConnections;
     private final Invariants invariants;
     private final long timeoutUs;
     private final WorkerEndpoint worker;
@@ -31,42 +31,43 @@
     private final double maxBreakRate;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Stage stage = Stage.CONNECTING;
-    /** Its end was told. */
+    /** The outcome has been reported. */
     private boolean ended;
     private TimerWheel.Timer timeoutTimer;
     private TimerWheel.Timer readTimer;
 
     /**
-     * Yet to be started.
+     * Creates a call that is not started yet.
      *
-     * @param limitUs it ends by then
-     * @param links which kept links will do, as {@link WorkerConnectionPool#acquire} has it
+     * @param timeoutUs the time after which the call ends with {@link Outcome#TIMEOUT}
+     * @param maxBreakRate the highest break rate at which an idle connection may be reused, as for {@link WorkerConnectionPool#acquire}
      */
-    HttpCall(Loop loop, WorkerConnectionPool egress, Invariants invariants, long limitUs, WorkerEndpoint target, String method, String path, double links) {
+    HttpCall(Loop loop, WorkerConnectionPool workerConnections, Invariants invariants, long timeoutUs, WorkerEndpoint worker, String method, String path,
+            double maxBreakRate) {
         this.loop = loop;
-        this.egress = egress;
+        this.workerConnections = workerConnections;
         this.invariants = invariants;
-        this.timeoutUs = limitUs;
-        this.worker = target;
+        this.timeoutUs = timeoutUs;
+        this.worker = worker;
         this.method = method;
         this.path = path;
-        this.maxBreakRate = links;
+        this.maxBreakRate = maxBreakRate;
         startUs = loop.nowUs();
     }
 
-    /** Its last byte is with the kernel. */
+    /** Called when the last byte of the request has been passed to the kernel. */
     void onWritten() {
     }
 
-    /** Its one end. */
-    abstract void onEnd(Outcome outcome, OutboundConnection.ResponsePart last, byte[] whole);
+    /** Called exactly once, when the call ends. */
+    abstract void onEnd(Outcome outcome, OutboundConnection.ResponsePart lastPart, byte[] responseBody);
 
     void start() {
         timeoutTimer = loop.schedule(timeoutUs, () -> finish(Outcome.TIMEOUT, null));
-        egress.acquire(worker, this, maxBreakRate);
+        workerConnections.acquire(worker, this, maxBreakRate);
     }
 
-    /** A probe of a worker that was announced as leaving, or one that nobody waits for any more, is not made; a notice is. */
+    /** A probe is not sent if the worker is draining or the outcome has been reported; a cancellation notice is always sent. */
     @Override
     public boolean needsConnection() {
         if (!method.equals(PROBE_METHOD) || !ended && worker.isReady()) {
@@ -81,73 +82,73 @@
         finish(Outcome.CONNECT_FAILED, null);
     }
 
-    private void finish(Outcome outcome, OutboundConnection.ResponsePart last) {
+    private void finish(Outcome outcome, OutboundConnection.ResponsePart lastPart) {
         if (!ended) {
             ended = true;
             timeoutTimer.cancel();
-            onEnd(outcome, last, body.toByteArray());
+            onEnd(outcome, lastPart, body.toByteArray());
         }
     }
 
     @Override
-    public void connected(OutboundConnection l) {
+    public void connected(OutboundConnection connection) {
         if (!needsConnection()) {
-            egress.release(worker, l, true);
+            workerConnections.release(worker, connection, true);
             return;
         }
         stage = Stage.SENDING;
-        l.sendRequest(l.requestHead(method, path, null, worker.hostHeader()), EMPTY_BODY, this);
+        connection.sendRequest(connection.requestHead(method, path, null, worker.hostHeader()), EMPTY_BODY, this);
         readTimer = loop.schedule(READ_TIMEOUT_FACTOR * timeoutUs, () -> {
             finish(Outcome.TIMEOUT, null);
-            egress.closeGracefully(l);
+            workerConnections.closeGracefully(connection);
         });
     }
 
     @Override
-    public void requestWritten(OutboundConnection l) {
+    public void requestWritten(OutboundConnection connection) {
         stage = Stage.SENT;
         onWritten();
     }
 
     @Override
-    public void responsePart(OutboundConnection l, OutboundConnection.ResponsePart piece) {
-        if (piece.status() == HttpStatus.ACCEPTED && method.equals(PROBE_METHOD)) {
-            // No answer to a probe: a second one to the job that this link carried before.
-            egress.countUnmatchedResponse();
-            if (piece.isLast()) {
-                l.expectAnotherResponse();
+    public void responsePart(OutboundConnection connection, OutboundConnection.ResponsePart part) {
+        if (part.status() == HttpStatus.ACCEPTED && method.equals(PROBE_METHOD)) {
+            // Not a response to a probe, but a duplicate response to the job sent earlier on this connection.
+            workerConnections.countUnmatchedResponse();
+            if (part.isLast()) {
+                connection.expectAnotherResponse();
             }
             return;
         }
         if (body.size() <= Transport.MAX_BODY_BYTES) {
-            body.writeBytes(piece.bytes());
+            body.writeBytes(part.bytes());
         }
-        if (piece.isLast()) {
+        if (part.isLast()) {
             stage = Stage.RESPONDED;
             readTimer.cancel();
-            egress.recordOutcome(l, false);
-            if (piece.status() == HttpStatus.OK) {
-                egress.release(worker, l, piece.keepAlive()); // a second one would be passed over by a job
+            workerConnections.recordOutcome(connection, false);
+            if (part.status() == HttpStatus.OK) {
+                workerConnections.release(worker, connection, part.keepAlive()); // a job ignores a duplicate of this response
             } else {
-                egress.releaseWithReuseDelay(worker, l, piece.keepAlive());
+                workerConnections.releaseWithReuseDelay(worker, connection, part.keepAlive());
             }
-            finish(piece.status() == HttpStatus.OK ? Outcome.OK : piece.declined() ? Outcome.FULL : Outcome.ERROR, piece);
+            finish(part.status() == HttpStatus.OK ? Outcome.OK : part.declined() ? Outcome.FULL : Outcome.ERROR, part);
         }
     }
 
     @Override
-    public void disconnected(OutboundConnection l) {
-        boolean kept = l.reused;
+    public void disconnected(OutboundConnection connection) {
+        boolean wasReused = connection.reused;
         if (readTimer != null) {
             readTimer.cancel();
         }
-        egress.recordOutcome(l, true);
-        egress.closeGracefully(l);
-        if (kept && !ended) {
-            // A kept link may have been closed unseen, which says nothing of the worker; an errand may be repeated.
+        workerConnections.recordOutcome(connection, true);
+        workerConnections.closeGracefully(connection);
+        if (wasReused && !ended) {
+            // The worker may have closed the idle connection unnoticed, which is no sign of a fault. The call can be repeated safely.
             invariants.count("errands once more");
             stage = Stage.CONNECTING;
-            egress.acquire(worker, this, WorkerConnectionPool.REUSE_NONE);
+            workerConnections.acquire(worker, this, WorkerConnectionPool.REUSE_NONE);
             return;
         }
         finish(stage == Stage.SENT ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
--- a/node/src/main/java/hookweir/net/Invariants.java
+++ b/node/src/main/java/hookweir/net/Invariants.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What must hold, and what is merely worth a count. A broken invariant trips an assertion in debug builds
- * (java -ea, all tests) and is counted in release builds; the counts go to the log. Any thread may call.
+ * Checks invariants and counts events. A violated invariant fails an assertion if assertions are enabled (java -ea, as in all
+ * tests) and is counted otherwise; the counts are written to the log. Thread-safe.
  */
 public final class Invariants {
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
-    /** Demands that something holds; its name is the counter's. */
+    /** Checks an invariant and returns whether it holds; violations are counted under the name. */
     public boolean check(boolean holds, String name) {
         if (!holds) {
             count("BROKEN " + name);
@@ -20,18 +20,18 @@
         return holds;
     }
 
-    /** Counts something that peers may cause and that is survived, such as a malformed line. */
+    /** Counts an event, such as a malformed line from a peer, that the scheduler tolerates. */
     public void count(String name) {
         counts.computeIfAbsent(name, k -> new LongAdder()).increment();
     }
 
-    /** How often this was counted. */
+    /** Returns the count of an event. */
     public long counted(String name) {
-        LongAdder n = counts.get(name);
-        return n == null ? 0 : n.sum();
+        LongAdder counter = counts.get(name);
+        return counter == null ? 0 : counter.sum();
     }
 
-    /** All counters on one line, sorted by name. */
+    /** Formats all counters on one line, sorted by name. */
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder();
--- a/node/src/main/java/hookweir/net/Log.java
+++ b/node/src/main/java/hookweir/net/Log.java
@@ -1,6 +1,6 @@
 package hookweir.net;
 
-/** The log: plain lines on standard error. */
+/** Writes plain log lines to standard error. */
 public final class Log {
     private Log() {
     }
--- a/node/src/main/java/hookweir/net/Loop.java
+++ b/node/src/main/java/hookweir/net/Loop.java
@@ -9,107 +9,108 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns the module, the timers and all state of requests: the transport's selector, which lets it
- * take its {@link #turn} between two rounds of I/O. So what a round of I/O posted is all dealt with before the next one
- * reads on, and nothing piles up in between. Other threads only post to it.
- * Its clock is monotonic: it was set by the wall clock once and is driven by nanoTime from then on, so Unix
- * times in messages compare with it and no step of the wall clock moves it.
+ * The event loop. One thread, the transport's selector thread, owns the decision module, the timers and all request state, and
+ * runs one {@link #turn} between two rounds of I/O. All tasks posted by a round of I/O run before the next round reads, so no
+ * backlog builds up in between. Other threads only post tasks.
+ *
+ * <p>The clock is monotonic: it is set from the wall clock once and advanced by nanoTime afterwards. Unix times in messages can
+ * therefore be compared with it, and steps of the wall clock do not affect it.
  */
 public final class Loop {
-    /** I/O gets its turn after so many tasks, or once all are done that the last round posted. */
+    /** A turn yields to I/O after this many tasks, or after twice the number of tasks already posted, if that is more. */
     private static final int MAX_TASKS_PER_TURN = 256;
 
     private final Queue<Runnable> otherThreadTasks = new ConcurrentLinkedQueue<>();
     private final ArrayDeque<Runnable> ownerTasks = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> afterIoRound = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> nextRoundTasks = new ArrayDeque<>();
     private final Invariants invariants;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startUnixUs = System.currentTimeMillis() * 1000;
     private final LongSupplier clock;
     private final long startNanos;
-    private final TimerWheel timerCount = new TimerWheel(startUnixUs);
-    private volatile Runnable setWaker = () -> { };
+    private final TimerWheel timerWheel = new TimerWheel(startUnixUs);
+    private volatile Runnable ioWaker = () -> { };
     private volatile boolean running;
     private volatile Thread owner;
     private volatile Consumer<Error> fatalErrorHandler = this::recordFatalError;
     private volatile Error fatalError;
-    /** When the last turn began. */
+    /** When the last turn started. */
     private long turnStartedUs;
 
     public Loop(Invariants invariants) {
         this(invariants, System::nanoTime);
     }
 
-    /** By another monotonic clock, in ns. */
+    /** Uses another monotonic clock, in ns. */
     Loop(Invariants invariants, LongSupplier clock) {
         this.invariants = invariants;
         this.clock = clock;
         startNanos = clock.getAsLong();
     }
 
-    /** Now, in microseconds since 1970 as this clock has it. */
+    /** Returns the current time of this clock, in microseconds since the Unix epoch. */
     public long nowUs() {
         return startUnixUs + (clock.getAsLong() - startNanos) / 1000;
     }
 
     /**
-     * Nothing that the present round of I/O reads can have lain there before this time: the round before read all that there was.
-     * Owner thread only.
+     * Returns the earliest time at which data read by the current round of I/O can have arrived: the previous round read
+     * everything that was available. Owner thread only.
      */
     public long earliestArrivalUs() {
         return turnStartedUs;
     }
 
-    /** How to wake the owner thread from its wait for I/O. */
+    /** Sets the callback that wakes the owner thread from its wait for I/O. */
     void setWaker(Runnable newWaker) {
-        setWaker = newWaker;
+        ioWaker = newWaker;
     }
 
-    /** Runs the task on the owner thread, after all that the same thread posted before. Any thread. */
+    /** Runs the task on the owner thread, after all tasks that the calling thread posted earlier. Any thread. */
     public void post(Runnable task) {
         if (isOwner()) {
             ownerTasks.add(task);
         } else {
             otherThreadTasks.add(task);
-            setWaker.run();
+            ioWaker.run();
         }
     }
 
     /** Runs the task after the delay. Owner thread only. */
     public TimerWheel.Timer schedule(long delayUs, Runnable task) {
-        return timerCount.schedule(nowUs() + Math.max(0, delayUs), task);
+        return timerWheel.schedule(nowUs() + Math.max(0, delayUs), task);
     }
 
-    /** Runs the task once a whole round of I/O has read what is there by now. From a task or timer of the owner thread only. */
+    /** Runs the task after a full round of I/O has read all data available by now. Only from a task or timer of the owner thread. */
     public void afterIoRound(Runnable task) {
-        afterIoRound.add(task);
+        nextRoundTasks.add(task);
     }
 
-    /** The calling thread owns all state. */
+    /** Returns whether the calling thread is the owner thread. */
     public boolean isOwner() {
         return Thread.currentThread() == owner;
     }
 
-    /** Between {@link #run} and {@link #stop}. */
+    /** Returns whether the loop is between {@link #run} and {@link #stop}. */
     boolean isRunning() {
         return running;
     }
 
-    /** Timers that are set. Owner thread only. */
+    /** Returns the number of pending timers. Owner thread only. */
     int timerCount() {
-        return timerCount.size();
+        return timerWheel.size();
     }
 
-    /** Ends {@link #run} after the present task. Owner thread only. */
+    /** Ends {@link #run} after the current task. Owner thread only. */
     public void stop() {
         running = false;
         stopped.countDown();
     }
 
-    /** Lets the turns begin, and waits for {@link #stop}. An error that ended the loop is thrown here. */
+    /** Starts running tasks and waits for {@link #stop}. Throws the error that ended the loop, if any. */
     public void run() {
         running = true;
-        setWaker.run();
+        ioWaker.run();
         try {
             stopped.await();
         } catch (InterruptedException e) {
@@ -125,35 +126,35 @@
         stop();
     }
 
-    /** What to do when an error, such as a lack of memory, hits the owner thread; without this {@link #run} throws it. */
-    void onFatalError(Consumer<Error> newDeath) {
-        fatalErrorHandler = newDeath;
+    /** Sets the handler of an error on the owner thread, such as an OutOfMemoryError. Without one, {@link #run} throws the error. */
+    void onFatalError(Consumer<Error> newHandler) {
+        fatalErrorHandler = newHandler;
     }
 
     /**
-     * Runs what is due and what was posted, guarded against one bad event ending the scheduler and losing all it holds.
-     * Owner thread only, between two rounds of I/O.
+     * Runs due timers and posted tasks. An exception in one of them is caught, so that it can't end the scheduler and lose all
+     * pending requests. Owner thread only, between two rounds of I/O.
      *
-     * @return so many microseconds may be waited for I/O, if nothing is posted
+     * @return how long to wait for I/O at most, in µs, if no task is posted
      */
     long turn() {
         if (owner == null) {
             owner = Thread.currentThread();
         }
         turnStartedUs = nowUs();
-        ownerTasks.addAll(afterIoRound);
-        afterIoRound.clear();
-        // All that the last round posted is done before the next one posts more; timers and tasks take turns, as neither may
-        // hold up the other: a late timer is a deadline passed unseen.
-        int most = Math.max(MAX_TASKS_PER_TURN, 2 * ownerTasks.size());
-        for (int i = 0; i < most && running; i++) {
+        ownerTasks.addAll(nextRoundTasks);
+        nextRoundTasks.clear();
+        // All tasks posted by the last round run before the next round posts more. Timers and tasks alternate, so that neither
+        // delays the other: a late timer means that a missed deadline goes unnoticed.
+        int maxTasks = Math.max(MAX_TASKS_PER_TURN, 2 * ownerTasks.size());
+        for (int i = 0; i < maxTasks && running; i++) {
             boolean timersFirst = i % 2 == 0;
-            Runnable task = timersFirst ? timerCount.poll(nowUs()) : nextPosted();
+            Runnable task = timersFirst ? timerWheel.poll(nowUs()) : nextPosted();
             if (task == null) {
-                task = timersFirst ? nextPosted() : timerCount.poll(nowUs());
+                task = timersFirst ? nextPosted() : timerWheel.poll(nowUs());
             }
             if (task == null) {
-                return afterIoRound.isEmpty() ? timerCount.idleTimeUs(nowUs()) : 0;
+                return nextRoundTasks.isEmpty() ? timerWheel.idleTimeUs(nowUs()) : 0;
             }
             now(task);
         }
@@ -165,12 +166,12 @@
         return task == null ? ownerTasks.poll() : task;
     }
 
-    /** Runs a round of I/O's event at once. Owner thread only, and from no call of the module. */
+    /** Runs an I/O event immediately. Owner thread only, and never from inside a call of the decision module. */
     public void now(Runnable task) {
         try {
             task.run();
         } catch (Error e) {
-            // Whatever it was, state may be half changed: nothing more is decided on it.
+            // State may be partly updated, so no further decision can rely on it.
             fatalErrorHandler.accept(e);
         } catch (RuntimeException e) {
             invariants.count("BROKEN event failed");
--- a/node/src/main/java/hookweir/net/LoopSelector.java
+++ b/node/src/main/java/hookweir/net/LoopSelector.java
@@ -8,7 +8,7 @@
 import org.glassfish.grizzly.nio.DefaultSelectorHandler;
 import org.glassfish.grizzly.nio.SelectorRunner;
 
-/** Gives the {@link Loop} its turn before each wait for I/O, and waits no longer than the next timer allows. */
+/** Runs a turn of the {@link Loop} before each wait for I/O, and waits at most until the next timer is due. */
 final class LoopSelector extends DefaultSelectorHandler {
     private static final long IDLE_PARK_NS = 1_000_000;
     private static final long US_PER_MS = 1000;
@@ -22,28 +22,28 @@
     }
 
     private void wake() {
-        Selector s = selector;
-        if (s != null) {
-            s.wakeup();
+        Selector current = selector;
+        if (current != null) {
+            current.wakeup();
         }
     }
 
     @Override
     public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
-        Selector s = runner.getSelector();
-        // Known before the turn: what is posted from now on wakes the wait below.
-        selector = s;
+        Selector current = runner.getSelector();
+        // Set before the turn, so that a task posted from now on ends the wait below.
+        selector = current;
         long waitUs = loop.turn();
         if (!loop.isRunning()) {
-            // Guards against a client that is read before the module has its list, or after the process chose to leave.
+            // No client may be read before the module has its worker list, or after the loop has stopped.
             LockSupport.parkNanos(IDLE_PARK_NS);
             return Set.of();
         }
         if (waitUs <= 0 || !runner.getPostponedTasks().isEmpty()) {
-            s.selectNow();
+            current.selectNow();
         } else {
-            s.select((waitUs + US_PER_MS - 1) / US_PER_MS);
+            current.select((waitUs + US_PER_MS - 1) / US_PER_MS);
         }
-        return s.selectedKeys();
+        return current.selectedKeys();
     }
 }
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -16,67 +16,67 @@
 import java.util.Set;
 
 /**
- * The list of workers as this process has it: reads it from the list service and passes it on to the decision module and to the
- * connections to workers. Until {@link ListLease} has a list, the module knows of no worker and holds what comes; while
- * the lease is over, it sends nothing. Belongs to the {@link Loop}.
+ * The worker list of this process. Receives it from the list service and forwards it to the decision module and to the
+ * connections to workers. Until {@link ListLease} has a list, the module knows no worker and queues all requests; while
+ * the lease has expired, it sends nothing to workers. Belongs to the {@link Loop}.
  */
 final class Membership implements WorkerListClient.Listener {
     /**
-     * How long a start waits for a list service that is asked and neither answers nor refuses, in µs. A start has to be ready within
-     * 6 s, of which the process itself takes 1 to 2.
+     * How long a start waits for a polled list service that neither responds nor refuses the connection, in µs. A start has to be
+     * ready within 6 s, of which the process itself takes 1 to 2.
      */
     private static final long POLL_START_TIMEOUT_US = 4_000_000;
-    /** The same for an agent on this machine, which answers at once or is silent while it has nobody to ask itself. */
+    /** The same for a local agent that pushes the list; it responds at once, or not at all while its own source is unreachable. */
     private static final long PUSH_START_TIMEOUT_US = 500_000;
 
     private final Loop loop;
     private final Invariants invariants;
     private final EventLog events;
-    private final WorkerConnectionPool egress;
+    private final WorkerConnectionPool workerConnections;
     private final Contract.Dispatcher module;
     private final Runnable onReady;
     private final ListUpdate.Parser parser;
     private final WorkerListClient discovery;
     private final ListLease lease;
     private TimerWheel.Timer expiryTimer;
-    /** As the module was told last. */
+    /** Whether the lease was valid when the module was last notified. */
     private boolean leaseValid;
-    /** The start is over: lists are passed on as they come. */
+    /** The start is complete: updates are applied as they arrive. */
     private boolean started;
-    /** What is passed on as the start ends: the list as last held, and what came before the whole list, where that is waited for. */
+    /** Updates applied when the start completes: the cached worker list, then those received before the full list. */
     private final List<ListUpdate> pendingUpdates = new ArrayList<>();
     private boolean listPushed;
 
     /**
-     * @param onReady runs once, as requests may be sent from then on
+     * @param onReady runs once, when requests may be sent
      */
-    Membership(Config config, Loop loop, Connector dialer, Invariants invariants, EventLog events, WorkerConnectionPool egress, Contract.Dispatcher module,
+    Membership(Config config, Loop loop, Connector connector, Invariants invariants, EventLog events, WorkerConnectionPool workerConnections, Contract.Dispatcher module,
             Runnable onReady) {
         this.loop = loop;
         this.invariants = invariants;
         this.events = events;
-        this.egress = egress;
+        this.workerConnections = workerConnections;
         this.module = module;
         this.onReady = onReady;
         lease = new ListLease(!config.settings().policySettings.pollList);
         applySettings(config.settings());
         parser = new ListUpdate.Parser(config.settings().zoneNames, config.settings().kindNames, invariants, loop::nowUs);
-        discovery = new WorkerListClient(loop, dialer, config.listServiceAddress(), parser, invariants, events, () -> listPushed, this);
+        discovery = new WorkerListClient(loop, connector, config.listServiceAddress(), parser, invariants, events, () -> listPushed, this);
     }
 
-    /** Takes over what the settings say of the list. */
+    /** Applies the settings of the worker list. */
     void applySettings(SettingsMapping mapped) {
         listPushed = !mapped.policySettings.pollList;
         lease.setListsPushed(listPushed);
     }
 
-    /** Begins with the list as last held, by which nothing is sent yet, and asks for the present one. */
+    /** Loads the cached worker list, which is not used for sending yet, and requests the current one. */
     void start(Config config) {
-        ListUpdate known = config.cachedWorkerList() == null ? null : parser.parse(config.cachedWorkerList());
-        boolean usable = known != null && !known.entries().isEmpty();
-        pendingUpdates.add(new ListUpdate(0, true, usable ? known.entries() : List.of()));
-        // Where nothing is held, changes to it would be no list.
-        discovery.setKnownVersion(listPushed || !usable ? WorkerListClient.UNKNOWN_VERSION : known.version());
+        ListUpdate cached = config.cachedWorkerList() == null ? null : parser.parse(config.cachedWorkerList());
+        boolean usable = cached != null && !cached.entries().isEmpty();
+        pendingUpdates.add(new ListUpdate(0, true, usable ? cached.entries() : List.of()));
+        // Without a cached list, changes alone would not make up a list.
+        discovery.setKnownVersion(listPushed || !usable ? WorkerListClient.UNKNOWN_VERSION : cached.version());
         updateLease();
         module.workerListReceived(loop.nowUs(), false, List.of());
         if (listPushed) {
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Goes over to another address of the list service. */
+    /** Switches to another address of the list service. */
     void moveTo(InetSocketAddress to) {
         if (to.equals(discovery.address())) {
             return;
@@ -99,40 +99,40 @@
         updateLease();
     }
 
-    /** An attempt may begin: what is known of the workers is not out of date. */
+    /** Returns whether the worker list is fresh enough to start an attempt. */
     boolean mayStartAttempt() {
         return lease.isValidAt(loop.nowUs());
     }
 
-    /** How long attempts may still begin if the list service says nothing any more, in µs; 0 if they may not. */
+    /** Returns the time until the lease on the list expires, in µs; 0 if it has expired. */
     long leaseRemainingUs() {
         return Math.max(0, lease.expiresAtUs() - loop.nowUs());
     }
 
-    /** Tells the module until when attempts may begin, and notes when they may not any more. */
+    /** Notifies the module of the expiry of the lease, and logs when the lease is renewed or expires. */
     private void updateLease() {
         long now = loop.nowUs();
-        boolean permits = lease.isValidAt(now);
-        if (permits != leaseValid) {
-            leaseValid = permits;
-            invariants.count(permits ? "list lease renewed" : "list lease over");
-            events.log(() -> permits ? "list lease renewed: attempts may begin" : "list lease over: no attempt begins");
+        boolean valid = lease.isValidAt(now);
+        if (valid != leaseValid) {
+            leaseValid = valid;
+            invariants.count(valid ? "list lease renewed" : "list lease over");
+            events.log(() -> valid ? "list lease renewed: attempts may begin" : "list lease over: no attempt begins");
         }
         if (expiryTimer != null) {
             expiryTimer.cancel();
         }
-        if (permits) {
+        if (valid) {
             expiryTimer = loop.schedule(lease.expiresAtUs() - now, this::updateLease);
         }
         module.listLeaseChanged(now, lease.expiresAtUs());
     }
 
-    /** Starts or ends the watch. */
+    /** Starts or stops the watch. */
     void watch(boolean on) {
         discovery.watch(on);
     }
 
-    /** Asks for the whole list once. */
+    /** Requests the full list once. */
     void fetch() {
         discovery.fetchWholeList();
     }
@@ -144,7 +144,7 @@
         }
         if (!started) {
             if (update.full()) {
-                pendingUpdates.subList(1, pendingUpdates.size()).clear(); // the list as last held tells which starts are news
+                pendingUpdates.subList(1, pendingUpdates.size()).clear(); // keep the cached list, which shows which worker starts are new
             }
             pendingUpdates.add(update);
         } else {
@@ -173,7 +173,7 @@
         loop.post(() -> module.workerListFailed(loop.nowUs(), failure));
     }
 
-    /** Passes on what was held back, where the start has come to its end. */
+    /** Applies the pending updates, unless the lease still waits for a list. */
     private void finishStart() {
         if (started || lease.isPending()) {
             return;
@@ -185,7 +185,7 @@
                 : "the list service does not answer: taking requests, but sending none to workers before it has");
         }
         if (pendingUpdates.size() > 1 && pendingUpdates.get(1).full()) {
-            forwardUpdate(pendingUpdates.remove(0)); // it only tells which of the whole list's starts are news
+            forwardUpdate(pendingUpdates.remove(0)); // it only shows which worker starts in the full list are new
         }
         pendingUpdates.forEach(this::applyUpdate);
         pendingUpdates.clear();
@@ -200,14 +200,14 @@
 
     private void forwardUpdate(ListUpdate update) {
         List<Contract.Worker> workers = new ArrayList<>();
-        Set<Integer> named = new HashSet<>();
+        Set<Integer> listedIds = new HashSet<>();
         for (ListUpdate.Entry entry : update.entries()) {
             workers.add(entry.worker());
-            named.add(entry.worker().id);
-            egress.applyUpdate(entry.worker().id, entry.name(), entry.address(), entry.worker().state);
+            listedIds.add(entry.worker().id);
+            workerConnections.applyUpdate(entry.worker().id, entry.name(), entry.address(), entry.worker().state);
         }
         if (update.full()) {
-            egress.retainOnly(named);
+            workerConnections.retainOnly(listedIds);
         }
         module.workerListReceived(loop.nowUs(), !update.full(), workers);
     }
--- a/node/src/main/java/hookweir/net/MessageBuilder.java
+++ b/node/src/main/java/hookweir/net/MessageBuilder.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Builds the bytes of one message in an array that is used again for the next. Owned by the {@link Transport}, on the
- * {@link Loop}'s thread.
+ * Builds the bytes of one message in an array that is reused for the next message. Owned by the {@link Transport} and used on the
+ * thread of the {@link Loop}.
  */
 public final class MessageBuilder {
     private static final byte[] CRLF = {'\r', '\n'};
@@ -13,14 +13,14 @@
     private byte[] bytes = new byte[1024];
     private int length;
 
-    /** Begins anew. */
+    /** Starts an empty message. */
     MessageBuilder reset() {
         length = 0;
         return this;
     }
 
-    /** Adds Latin text. */
-    @SuppressWarnings("deprecation") // the one way to get at a string's bytes without a copy of them
+    /** Adds ISO 8859-1 text. */
+    @SuppressWarnings("deprecation") // the only way to read the bytes of a string without copying them first
     public MessageBuilder add(String text) {
         int n = text.length();
         ensureCapacity(n);
@@ -29,12 +29,12 @@
         return this;
     }
 
-    /** Adds a whole number. */
+    /** Adds an integer. */
     public MessageBuilder add(long number) {
         return add(Long.toString(number));
     }
 
-    /** Adds a header; nothing where it has no value. */
+    /** Adds a header field, unless the value is null. */
     public MessageBuilder header(String name, String value) {
         return value == null ? this : add(name).add(": ").add(value).endLine();
     }
--- a/node/src/main/java/hookweir/net/MessageReader.java
+++ b/node/src/main/java/hookweir/net/MessageReader.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 
 /**
- * The part of reading HTTP/1.1 messages (RFC 9112) that requests and answers share: lines, bodies by length or in chunks,
- * and where a message ends, however the bytes are cut. It copies no body and makes no object of a line; a subclass looks
- * at the line in place. One for each connection; belongs to the selector.
+ * An incremental parser for HTTP/1.1 messages (RFC 9112), with the parts that requests and responses share: lines, bodies with a
+ * length or in chunks, and the end of a message. The input may be split at any byte. Bodies are not copied and lines are not
+ * turned into objects; a subclass inspects the line in place. One per connection; used only on the selector thread.
  */
 public abstract class MessageReader {
     private static final byte[] EMPTY = new byte[0];
@@ -15,14 +15,14 @@
     private static final int MAX_CHUNK_LINE_BYTES = 256;
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
     private static final int HEX = 16;
-    /** 400, the fault of what is framed in no way or in two. */
+    /** 400: the message has no framing or conflicting framing. */
     protected static final int BAD_REQUEST = 400;
     private static final int HEADER_FIELDS_TOO_LARGE = 431;
 
     private enum Part { START_LINE, HEADERS, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
 
     private final boolean strict;
-    /** The present line, up to {@link #lineEnd}. */
+    /** The current line, up to {@link #lineEnd}. */
     protected byte[] line = EMPTY;
     protected int lineEnd;
     private Part part = Part.START_LINE;
@@ -30,50 +30,53 @@
     private int headBytes;
     private long remaining;
     private int fault;
-    private boolean isComplete;
+    private boolean complete;
 
-    /** A strict reader takes only what any two readers frame alike; another one takes bare line feeds too. */
+    /** A strict reader accepts only messages that all parsers frame alike; a lenient one also accepts bare line feeds. */
     protected MessageReader(boolean strict) {
         this.strict = strict;
     }
 
-    /** The first line has come, other than an empty one before it. */
+    /** Called for the start line; empty lines before it are skipped, or rejected by a strict reader. */
     protected abstract void onStartLine();
 
-    /** A header of the head or, where trailer is set, of the trailers: its name ends at nameEnd, its value is [from, to). */
+    /** Called for each header field or, if trailer is set, trailer field: the name ends at nameEnd, the value is [from, to). */
     protected abstract void onHeader(int nameEnd, int from, int to, boolean trailer);
 
-    /** The head is whole: calls one of {@link #expectBody}, {@link #expectChunkedBody} and {@link #expectBodyUntilClose}, or {@link #fail}. */
+    /**
+     * Called when the head is complete. Has to call {@link #expectBody}, {@link #expectChunkedBody}, {@link #expectBodyUntilClose} or
+     * {@link #fail}.
+     */
     protected abstract void onHeadEnd();
 
-    /** A chunk of so many bytes comes next; a subclass may {@link #fail}. */
+    /** Called before a chunk of the given size; a subclass may {@link #fail}. */
     protected abstract void onChunkStart(long bytes);
 
-    /** Some of the body. */
-    protected abstract void onBody(byte[] from, int at, int n);
+    /** Called with a part of the body. */
+    protected abstract void onBody(byte[] from, int at, int count);
 
-    /** The message is whole. */
+    /** Called when the message is complete. */
     protected abstract void onMessageEnd();
 
-    /** Reading stops before the next byte of a body, for as long as this is so. */
+    /** Returns whether reading has to stop before the next byte of a body. */
     protected boolean isPaused() {
         return false;
     }
 
     /**
-     * Reads on, up to the end of a message, of the bytes, to a fault, or to a wait.
+     * Reads until the end of a message, the end of the input, a syntax error or a pause.
      *
-     * @return the place behind the last byte read
+     * @return the index after the last byte read
      */
     public final int feed(byte[] in, int from, int to) {
-        isComplete = false;
+        complete = false;
         int at = from;
-        while (at < to && fault == 0 && !isComplete && !isPaused()) {
+        while (at < to && fault == 0 && !complete && !isPaused()) {
             if (part == Part.BODY || part == Part.CHUNK || part == Part.UNTIL_CLOSE) {
-                int n = part == Part.UNTIL_CLOSE ? to - at : (int) Math.min(remaining, to - at);
-                onBody(in, at, n);
-                at += n;
-                remaining -= n;
+                int count = part == Part.UNTIL_CLOSE ? to - at : (int) Math.min(remaining, to - at);
+                onBody(in, at, count);
+                at += count;
+                remaining -= count;
                 if (remaining == 0 && part == Part.BODY) {
                     endMessage();
                 } else if (remaining == 0 && part == Part.CHUNK) {
@@ -86,27 +89,27 @@
         return at;
     }
 
-    /** The last {@link #feed} ended behind a message. */
+    /** Returns whether the last {@link #feed} stopped at the end of a message. */
     public final boolean isComplete() {
-        return isComplete;
+        return complete;
     }
 
-    /** The status that the bytes read so far deserve; 0 while they are well-formed. */
+    /** Returns the HTTP status of the syntax error found so far; 0 if there is none. */
     public final int fault() {
         return fault;
     }
 
-    /** Some of a message has come, and not all. */
+    /** Returns whether a message has been read partly. */
     public final boolean isMidMessage() {
         return part != Part.START_LINE || afterCr || lineEnd > 0;
     }
 
-    /** The bytes read so far deserve this status. */
+    /** Records a syntax error with this HTTP status. */
     protected final void fail(int status) {
         fault = status;
     }
 
-    /** A body of so many bytes follows; 0 for none. */
+    /** Declares that a body of this length follows; 0 for none. */
     protected final void expectBody(long bytes) {
         remaining = bytes;
         if (bytes > 0) {
@@ -116,57 +119,57 @@
         }
     }
 
-    /** A body in chunks follows. */
+    /** Declares that a chunked body follows. */
     protected final void expectChunkedBody() {
         part = Part.CHUNK_SIZE;
     }
 
-    /** A body follows that ends with its connection. */
+    /** Declares that a body follows that ends when the connection closes. */
     protected final void expectBodyUntilClose() {
         remaining = Long.MAX_VALUE;
         part = Part.UNTIL_CLOSE;
     }
 
-    /** The present line from one place to another, as text. */
+    /** Returns part of the current line as text. */
     protected final String text(int from, int to) {
         return new String(line, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** The present line holds this lower-case text there, in any case. */
-    protected final boolean lineEquals(String lower, int from, int to) {
-        if (to - from != lower.length()) {
+    /** Returns whether part of the current line equals the lower-case text, ignoring case. */
+    protected final boolean lineEquals(String lowerCase, int from, int to) {
+        if (to - from != lowerCase.length()) {
             return false;
         }
-        for (int i = 0; i < lower.length(); i++) {
+        for (int i = 0; i < lowerCase.length(); i++) {
             byte b = line[from + i];
-            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != lower.charAt(i)) {
+            if ((b >= 'A' && b <= 'Z' ? b + 32 : b) != lowerCase.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The present line begins with this lower-case text, in any case. */
-    protected final boolean lineStartsWith(String lower, int to) {
-        return to >= lower.length() && lineEquals(lower, 0, lower.length());
+    /** Returns whether the current line starts with the lower-case text, ignoring case. */
+    protected final boolean lineStartsWith(String lowerCase, int to) {
+        return to >= lowerCase.length() && lineEquals(lowerCase, 0, lowerCase.length());
     }
 
-    /** A whole number of plain digits there; -1 where it is none of up to 18. */
+    /** Parses a number of 1 to 18 decimal digits; -1 if the text is not one. */
     protected final long parseDigits(int from, int to) {
         if (to <= from || to - from > 18) {
             return -1;
         }
-        long v = 0;
+        long value = 0;
         for (int i = from; i < to; i++) {
             if (line[i] < '0' || line[i] > '9') {
                 return -1;
             }
-            v = 10 * v + line[i] - '0';
+            value = 10 * value + line[i] - '0';
         }
-        return v;
+        return value;
     }
 
-    /** A character of a token (RFC 9110 5.6.2). */
+    /** Returns whether the byte is a token character (RFC 9110 5.6.2). */
     protected static boolean isTokenChar(byte b) {
         return b >= '0' && b <= '9' || b >= 'A' && b <= 'Z' || b >= 'a' && b <= 'z' || b > ' ' && "!#$%&'*+-.^_`|~".indexOf(b) >= 0;
     }
@@ -175,7 +178,7 @@
         if (++headBytes > Transport.MAX_HEADER_BYTES) {
             fault = HEADER_FIELDS_TOO_LARGE;
         } else if (strict && (afterCr ? b != '\n' : b == '\n' || b < ' ' && b != '\t' && b != '\r' || b == 0x7f)) {
-            // A bare CR or LF ends a line for some readers only; other such bytes stand in no head.
+            // Some parsers end a line at a bare CR or LF and others do not; other control characters are not allowed in a head.
             fault = BAD_REQUEST;
         } else if (b == '\r') {
             afterCr = true;
@@ -184,7 +187,7 @@
             onLineEnd();
             lineEnd = 0;
         } else if (part == Part.CHUNK_END) {
-            fault = BAD_REQUEST; // the chunk is longer than it said
+            fault = BAD_REQUEST; // the chunk is longer than announced
         } else {
             if (lineEnd == line.length) {
                 line = Arrays.copyOf(line, Math.max(INITIAL_LINE_BYTES, 2 * lineEnd));
@@ -213,7 +216,7 @@
                 }
             }
             case CHUNK_SIZE -> parseChunkSize();
-            default -> part = Part.CHUNK_SIZE; // the empty line behind a chunk
+            default -> part = Part.CHUNK_SIZE; // the empty line after a chunk
         }
     }
 
@@ -223,7 +226,7 @@
             nameEnd++;
         }
         if (nameEnd == 0 || nameEnd == lineEnd || line[nameEnd] != ':') {
-            fault = BAD_REQUEST; // a folded line, a space before the colon, or no header at all
+            fault = BAD_REQUEST; // a folded line, a space before the colon, or not a header field
             return;
         }
         int from = nameEnd + 1;
@@ -261,11 +264,11 @@
     }
 
     private void endMessage() {
-        isComplete = true;
+        complete = true;
         part = Part.START_LINE;
         headBytes = 0;
         if (line.length > MAX_RETAINED_LINE_BYTES) {
-            line = EMPTY; // what one long line took is not kept for as long as the connection
+            line = EMPTY; // don't retain the memory of one long line for the lifetime of the connection
         }
         onMessageEnd();
     }
--- a/node/src/main/java/hookweir/net/Node.java
+++ b/node/src/main/java/hookweir/net/Node.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.LongSupplier;
 
-/** One scheduler: puts the transport, the loop and the host together, and ends them in order. */
+/** One scheduler process: creates the transport, the loop and the host, and stops them in order. */
 public final class Node {
-    /** The status of a process that an error ended, as the JVM's own for a lack of memory. */
+    /** The exit status after a fatal error; the JVM uses the same for an OutOfMemoryError. */
     static final int EXIT_FATAL_ERROR = 3;
 
-    /** The last one taken over. Guarded by this once serving. */
+    /** The configuration applied last. Guarded by this object once serving. */
     private Config config;
     private final Invariants invariants = new Invariants();
     private final Loop loop;
     private final Transport transport;
     private final ServingState standing = new ServingState();
-    private final Metrics figures = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final SocketHost host;
     private int adminPort;
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -32,36 +32,36 @@
         this(config, System::nanoTime);
     }
 
-    /** By another monotonic clock, in ns. */
+    /** Uses another monotonic clock, in ns. */
     Node(Config config, LongSupplier clock) {
         this.config = config;
         loop = new Loop(invariants, clock);
         transport = new Transport(invariants, loop);
-        host = new SocketHost(config, loop, transport, invariants, standing, figures);
+        host = new SocketHost(config, loop, transport, invariants, standing, metrics);
     }
 
     /**
-     * Reads the configuration anew and goes over to its settings and discovery; a faulty one is logged and the running one
-     * kept. Any thread but the loop: the file is read here. One at a time, so that the last read wins.
+     * Reads the configuration again and switches to its settings and list service. An invalid one is logged, and the current one
+     * stays in force. Any thread except the loop's, as the file is read here. Synchronized, so that the last one read wins.
      */
     public synchronized void reload(Map<String, String> env) {
         try {
-            Config again = ConfigReader.reload(env, config);
-            config = again;
-            loop.post(() -> host.reload(again));
+            Config reloaded = ConfigReader.reload(env, config);
+            config = reloaded;
+            loop.post(() -> host.reload(reloaded));
         } catch (InvalidSettingException e) {
             invariants.count("reloads refused");
-            figures.configurationReloaded(false);
+            metrics.configurationReloaded(false);
             Log.line("the configuration stays as it was: " + e.getMessage());
         }
     }
 
-    /** To be called before the configuration is read: a SIGHUP from now on is heeded once the scheduler serves. */
+    /** Has to be called before the configuration is read: a SIGHUP from now on takes effect once the scheduler serves. */
     public static void installReloadSignalHandler() {
         SighupHandler.install();
     }
 
-    /** Serves until SIGTERM and all that is held then is finished; the exit status. */
+    /** Serves until SIGTERM has arrived and all pending requests are finished; returns the exit status. */
     public int serve() throws IOException {
         loop.onFatalError(Node::exitOnFatalError);
         int port;
@@ -83,29 +83,29 @@
         return 0;
     }
 
-    /** Nothing of this state can be trusted: says so, and ends without the hooks that would. */
+    /** Logs the error and exits without running the shutdown hooks, because no state can be trusted any more. */
     private static void exitOnFatalError(Error e) {
         try {
-            Log.line("hookweir: the loop ended by " + e + ", leaving at once with status " + EXIT_FATAL_ERROR);
+            Log.line("hookweir: the loop ended by " + e + ", exiting immediately with status " + EXIT_FATAL_ERROR);
         } finally {
             Runtime.getRuntime().halt(EXIT_FATAL_ERROR);
         }
     }
 
-    /** Binds and seeds; the port that it got. {@link #run} is to follow. */
+    /** Binds the addresses, loads the cached worker list and returns the clients' port. {@link #run} has to follow. */
     public int start() throws IOException {
         transport.start();
         if (config.adminAddress() != null) {
-            adminPort = bindOrExplain("admin_addr", config.adminAddress(), () -> new AdminServer(loop, transport, invariants, standing, figures,
+            adminPort = bindOrExplain("admin_addr", config.adminAddress(), () -> new AdminServer(loop, transport, invariants, standing, metrics,
                 () -> loop.post(host::quiesceChanged)).listen(config.adminAddress()));
         }
-        // Seeded before any request can be read, as this is posted first.
+        // Posted first, so that the cached worker list is loaded before any request can be read.
         loop.post(() -> host.start(config));
         int port = bindOrExplain(config.inheritsListenSocket() ? "RELAY_FD" : "listen", config.listenAddress(), () -> host.listen(config));
         return port;
     }
 
-    /** The operators' port, once started; 0 where they have no address. */
+    /** Returns the admin port, once started; 0 if there is no admin address. */
     public int adminPort() {
         return adminPort;
     }
@@ -118,23 +118,23 @@
         try {
             return binding.bind();
         } catch (IOException e) {
-            throw new IOException("setting " + key + " names " + at + ", which can't be used: " + e.getMessage(), e);
+            throw new IOException("setting " + key + ": can't bind " + at + ": " + e.getMessage(), e);
         }
     }
 
-    /** The loop, on the calling thread, until the end of a drain. */
+    /** Runs the loop on the calling thread until a shutdown is complete. */
     public void run() throws IOException {
         try {
             loop.run();
         } finally {
-            // Also where an error ended the loop: the shutdown hook must not wait for ever.
+            // Also if an error ended the loop, so that the shutdown hook does not wait forever.
             ended.countDown();
             host.close();
             transport.stop();
         }
     }
 
-    /** Asks for the planned end. */
+    /** Starts a graceful shutdown. */
     public void drain() {
         loop.post(host::drain);
     }
@@ -144,17 +144,17 @@
         loop.post(task);
     }
 
-    /** Runs the task on the loop once a whole round of I/O has read what is there by now. */
+    /** Runs the task on the loop after a full round of I/O has read all data available by now. */
     void afterIoRound(Runnable task) {
         loop.post(() -> loop.afterIoRound(task));
     }
 
-    /** Ends at once, whatever is held. */
+    /** Stops immediately, even if requests are pending. */
     public void stop() {
         loop.post(loop::stop);
     }
 
-    /** Counters, for tests and logs. */
+    /** Returns the counters, for tests and logs. */
     public Invariants invariants() {
         return invariants;
     }
--- a/node/src/main/java/hookweir/net/OutboundConnection.java
+++ b/node/src/main/java/hookweir/net/OutboundConnection.java
@@ -12,65 +12,65 @@
 import org.glassfish.grizzly.WriteResult;
 
 /**
- * One outgoing connection, which carries one call at a time. Its state belongs to the {@link Loop}; its
- * handler is called there only. Nothing here sends a call twice.
+ * One outbound connection, which carries one HTTP request at a time. Its state belongs to the {@link Loop}, and its handler is
+ * called only there. Requests are never retried here.
  */
 public final class OutboundConnection {
-    /** What becomes of a dial or a call. */
+    /** Receives the events of a connection attempt and of a request. */
     public interface Handler {
-        /** Asked after a wait for a link, before one is used or dialled; where it is false nothing follows. */
+        /** Called after a wait for a connection, before one is reused or opened. If false, nothing else is called. */
         default boolean needsConnection() {
             return true;
         }
 
-        /** The dial succeeded; nothing has been sent. */
-        default void connected(OutboundConnection link) {
+        /** The connection is open; nothing has been sent. */
+        default void connected(OutboundConnection connection) {
         }
 
-        /** The last byte of the call is with the kernel. */
-        default void requestWritten(OutboundConnection link) {
+        /** The last byte of the request has been passed to the kernel. */
+        default void requestWritten(OutboundConnection connection) {
         }
 
-        /** An answer came while no call was out; {@link #disconnected} follows. */
-        default void unexpectedResponse(OutboundConnection link, int status) {
+        /** A response arrived while no request was outstanding; {@link #disconnected} follows. */
+        default void unexpectedResponse(OutboundConnection connection, int status) {
         }
 
-        /** No link came free in time; there was none to dial by. Nothing follows. */
+        /** No connection became available in time, and none could be opened. Nothing else is called. */
         default void connectionUnavailable() {
         }
 
-        /** A piece of the answer; the last one ends it. */
-        void responsePart(OutboundConnection link, ResponsePart piece);
+        /** Part of the response arrived; the last part completes it. */
+        void responsePart(OutboundConnection connection, ResponsePart part);
 
-        /** The connection failed to come up, broke or was ended by the peer. Nothing follows. */
-        void disconnected(OutboundConnection link);
+        /** The connection failed to open, broke or was closed by the peer. Nothing else is called. */
+        void disconnected(OutboundConnection connection);
     }
 
     /**
-     * A piece of an answer.
+     * A part of a response.
      *
-     * @param status its status
-     * @param declined the worker says that it turned the job away
+     * @param status the HTTP status
+     * @param declined whether the worker states that it rejected the job
      * @param load the load report in the header, or null
-     * @param keepAlive the connection may carry another call
-     * @param bytes so much of the body
-     * @param isLast the answer is whole
+     * @param keepAlive whether the connection may carry another request
+     * @param bytes the part of the body
+     * @param isLast whether the response is complete
      */
     public record ResponsePart(int status, boolean declined, String load, boolean keepAlive, byte[] bytes, boolean isLast) {
     }
 
-    /** A call that was told that its job is taken by an answer that may have been another call's. */
+    /** An attempt whose job was accepted by a 202 that may belong to another request. */
     public interface AcceptanceListener {
-        /** It showed that answers were mixed up. */
+        /** Called when responses turned out to be mixed up. */
         void acceptanceInDoubt();
     }
 
-    /** How far its life has come; it only ever goes on. */
+    /** The phases of a connection, in order; a connection never returns to an earlier one. */
     private enum Phase {
         CONNECTING,
-        /** Calls are made, or it rests. */
+        /** Carries a request or is idle. */
         OPEN,
-        /** Its output is shut, nobody hears of it any more, and what comes is dropped until the peer's end or a bound. */
+        /** The output is shut down, the handler is no longer called, and input is discarded until the peer closes or a time limit. */
         LINGERING,
         CLOSED
     }
@@ -85,7 +85,7 @@
     private boolean awaitingResponse;
     private boolean writing;
     private boolean broken;
-    /** Pieces of the answer that were told before the write's end, for the same reason. */
+    /** Parts of the response that arrived before the end of the write was reported; the handler receives them after it. */
     private final Deque<Runnable> partsBeforeWriteEnd = new ArrayDeque<>();
     private ResponsePart unframedPart;
 
@@ -94,47 +94,47 @@
     private Runnable onClosed;
     private AcceptanceListener acceptanceListener;
 
-    /** Set by its pool when it was last put aside. */
+    /** Set by the pool when the connection last became idle. */
     public long idleSinceUs;
-    /** Set by its pool: it rests until then where that is affordable, as a second answer may be on the way. */
+    /** Set by the pool: if possible not reused before this time, as a duplicate response may be on its way. */
     public long reuseAfterUs;
-    /** Set by its pool: until then an answer may be the second one to an earlier call. */
+    /** Set by the pool: a response before this time may be a duplicate response to an earlier request. */
     public long duplicateResponseUntilUs;
-    /** Set by its pool: a call waits for it to settle. */
+    /** Set by the pool: a request waits until this connection may be reused. */
     public boolean reserved;
-    /** Set by its pool: it carried a call before the present one. */
+    /** Set by the pool: the connection carried a request before the current one. */
     public boolean reused;
 
-    OutboundConnection(Loop loop, Transport transport, long dialLimitUs, Handler handler) {
+    OutboundConnection(Loop loop, Transport transport, long connectTimeoutUs, Handler handler) {
         this.loop = loop;
         this.transport = transport;
         this.handler = handler;
-        connectTimer = loop.schedule(dialLimitUs, this::connectTimedOut);
+        connectTimer = loop.schedule(connectTimeoutUs, this::connectTimedOut);
     }
 
-    /** How its dial is called off, so that its descriptor is given back. */
-    void setConnectFuture(Future<?> newDial) {
-        connectFuture = newDial;
+    /** Sets the future that is cancelled to abort connecting, which releases the descriptor. */
+    void setConnectFuture(Future<?> newFuture) {
+        connectFuture = newFuture;
     }
 
-    /** Guards against a machine that vanished: its connections never come up, and nobody says so. */
+    /** Handles a host that is gone: connections to it never open, and no error is reported. */
     private void connectTimedOut() {
         if (phase == Phase.CONNECTING) {
             handleDisconnect();
         }
     }
 
-    /** From the selector: the dial succeeded. */
-    void connected(Connection<?> c) {
+    /** Called by the selector when the connection is open. */
+    void connected(Connection<?> opened) {
         loop.post(() -> {
             if (phase != Phase.CONNECTING) {
-                c.closeSilently(); // it came up late, as its dial was called off
+                opened.closeSilently(); // opened after connecting was aborted
                 return;
             }
-            connection = c;
+            connection = opened;
             phase = Phase.OPEN;
             connectTimer.cancel();
-            // What lies unread is heard before anything is sent: a client may have left, or a worker been announced as leaving.
+            // Unread data is processed before anything is sent: a client may have disconnected, or a worker may be draining.
             loop.afterIoRound(this::notifyConnected);
         });
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /** From the selector: the dial failed or the connection ended. */
+    /** Called by the selector when connecting failed or the connection was closed. */
     void connectionEnded() {
         loop.post(this::handleDisconnect);
     }
@@ -156,65 +156,65 @@
             return;
         }
         if (writing) {
-            // Guards against a second copy: the selector may tell of the break before the write's end is told
-            // here, and only the latter shows whether the last byte had left.
+            // The selector may report the close before the end of the write, and only the latter shows whether the last byte was
+            // sent. Without that knowledge the job could be sent twice.
             broken = true;
             return;
         }
         close();
         if (unframedPart != null) {
-            // An answer without a length ends with its connection.
+            // A response without a length ends when its connection closes.
             ResponsePart head = unframedPart;
             handler.responsePart(this, new ResponsePart(head.status, head.declined, head.load, false, new byte[0], true));
         }
         handler.disconnected(this);
     }
 
-    /** From the selector: so many bytes came; false where they make no answer. */
-    boolean read(byte[] bytes, int n) {
+    /** Called by the selector with received bytes, from the start of the array; false if they are not a valid response. */
+    boolean read(byte[] bytes, int length) {
         int at = 0;
-        while (at < n) {
-            at = reader.feed(bytes, at, n);
+        while (at < length) {
+            at = reader.feed(bytes, at, length);
             if (reader.fault() != 0) {
                 return false;
             }
-            ResponsePart piece = reader.takePart();
-            if (piece != null) {
+            ResponsePart part = reader.takePart();
+            if (part != null) {
                 boolean framed = reader.framed();
                 if (writing) {
-                    partsBeforeWriteEnd.add(() -> handlePart(piece, framed));
+                    partsBeforeWriteEnd.add(() -> handlePart(part, framed));
                 } else {
-                    handlePart(piece, framed);
+                    handlePart(part, framed);
                 }
             }
         }
         return true;
     }
 
-    private void handlePart(ResponsePart piece, boolean framed) {
+    private void handlePart(ResponsePart part, boolean framed) {
         if (isEnded()) {
             return;
         }
         if (!awaitingResponse) {
-            // An answer that nobody asked for: the next call's answer could not be told from it.
-            handler.unexpectedResponse(this, piece.status);
+            // A response without a request: the response to the next request could not be distinguished from it.
+            handler.unexpectedResponse(this, part.status);
             handleDisconnect();
             return;
         }
-        unframedPart = framed ? null : piece;
-        awaitingResponse = !piece.isLast;
-        handler.responsePart(this, piece);
+        unframedPart = framed ? null : part;
+        awaitingResponse = !part.isLast;
+        handler.responsePart(this, part);
     }
 
-    /** Starts a call: a head as {@link #requestHead} began it, which is ended here, and a body. */
+    /** Sends a request: a head started by {@link #requestHead}, which is completed here, and a body. */
     public void sendRequest(MessageBuilder head, byte[] body, Handler newHandler) {
         handler = newHandler;
         awaitingResponse = true;
         writing = true;
         unframedPart = null;
         @SuppressWarnings("unchecked")
-        Connection<SocketAddress> c = (Connection<SocketAddress>) connection;
-        c.write(transport.pooledCopy(head.endLine(), body), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
+        Connection<SocketAddress> writable = (Connection<SocketAddress>) connection;
+        writable.write(transport.pooledCopy(head.endLine(), body), new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
             @Override
             public void completed(WriteResult<Buffer, SocketAddress> result) {
                 loop.post(() -> writeEnded(true));
@@ -227,22 +227,22 @@
         });
     }
 
-    private void writeEnded(boolean whole) {
+    private void writeEnded(boolean complete) {
         writing = false;
-        if (!isEnded() && awaitingResponse && whole) {
+        if (!isEnded() && awaitingResponse && complete) {
             handler.requestWritten(this);
         }
-        for (Runnable piece = partsBeforeWriteEnd.poll(); piece != null; piece = partsBeforeWriteEnd.poll()) {
-            piece.run();
+        for (Runnable part = partsBeforeWriteEnd.poll(); part != null; part = partsBeforeWriteEnd.poll()) {
+            part.run();
         }
-        if (broken || !whole) {
+        if (broken || !complete) {
             handleDisconnect();
         }
     }
 
     /**
-     * Closes it at once, without a word to the handler. A call that is not yet written whole is cut off: what a worker takes
-     * later, to the last byte, would be an attempt that was given up.
+     * Closes the connection at once, without calling the handler. A request that is not completely written is cut off: otherwise a
+     * worker could still receive all of it and run an attempt that was abandoned.
      */
     public void close() {
         enterClosed();
@@ -256,10 +256,10 @@
     }
 
     /**
-     * Ends it without a word to the handler, such that nothing that was written is lost to a reset: its output is shut, and
-     * what comes is dropped until the peer's end or a bound.
+     * Closes the connection without calling the handler and without a reset that could discard written data: shuts down the
+     * output, and discards input until the peer closes or a time limit.
      *
-     * @param closed runs once it is closed
+     * @param closed runs once the connection is closed
      */
     public void closeGracefully(Runnable closed) {
         if (phase != Phase.OPEN || writing || !HalfClose.shutdownOutput(connection)) {
@@ -272,19 +272,19 @@
         lingerTimer = loop.schedule(HalfClose.LINGER_US, connection::closeSilently);
     }
 
-    /** An answer that came was none to its call, whose own is yet to come. */
+    /** Keeps waiting: the response received does not belong to the outstanding request. */
     public void expectAnotherResponse() {
         awaitingResponse = true;
     }
 
-    /** The last call whose 202 may have been another's; null where there is none or its job is over. */
+    /** Returns the last attempt whose 202 may belong to another request; null if there is none or its job has ended. */
     public AcceptanceListener acceptanceListener() {
         return acceptanceListener;
     }
 
-    /** Sets or, by null, clears the last call whose 202 may have been another's. */
-    public void acceptanceListener(AcceptanceListener newTaken) {
-        acceptanceListener = newTaken;
+    /** Sets the last attempt whose 202 may belong to another request; null clears it. */
+    public void acceptanceListener(AcceptanceListener newListener) {
+        acceptanceListener = newListener;
     }
 
     private void enterClosed() {
@@ -300,27 +300,27 @@
         return phase == Phase.LINGERING || phase == Phase.CLOSED;
     }
 
-    /** It is up and carries no call. */
+    /** Returns whether the connection is open and carries no request. */
     public boolean isIdle() {
         return phase == Phase.OPEN && !awaitingResponse && connection.isOpen();
     }
 
-    /** A pool takes it back: only its end matters now. */
+    /** Sets the handler of the pool, which only has to know when the idle connection closes. */
     public void setIdleHandler(Handler newHandler) {
         handler = newHandler;
     }
 
-    /** An address as a Host header has it. */
+    /** Formats an address for the Host header. */
     public static String hostHeader(java.net.InetSocketAddress to) {
         return to.getAddress().getHostAddress() + ":" + to.getPort();
     }
 
-    /** The head of a call, but for its end. */
+    /** Starts the head of a request, without the empty line at its end. */
     public MessageBuilder requestHead(String method, String path, String query, String host) {
-        MessageBuilder m = transport.beginMessage().add(method).add(" ").add(path);
+        MessageBuilder head = transport.beginMessage().add(method).add(" ").add(path);
         if (query != null) {
-            m.add("?").add(query);
+            head.add("?").add(query);
         }
-        return m.add(" HTTP/1.1").endLine().header("Host", host);
+        return head.add(" HTTP/1.1").endLine().header("Host", host);
     }
 }
--- a/node/src/main/java/hookweir/net/PendingRequest.java
+++ b/node/src/main/java/hookweir/net/PendingRequest.java
@@ -8,32 +8,33 @@
 import java.util.List;
 
 /**
- * One request from a client until its final answer is given and its last attempt is over. Owned by
+ * One request from a client, until its final response is sent and its last attempt has ended. Owned by
  * {@link PendingRequests}, on the loop.
  */
 final class PendingRequest {
+    /** The job as the decision module knows it. */
     final Contract.Request job;
     final InboundRequest httpRequest;
     final InboundConnection client;
-    /** In order of their numbers. */
+    /** The attempts, indexed by attempt number. */
     final List<Attempt> attempts = new ArrayList<>();
-    /** The final answer was given, or nobody waits for one any more. */
+    /** The final response was sent, or the client disconnected. */
     boolean closed;
-    /** The module's own against its being forgotten. */
+    /** The decision module's timer for this request, which ensures that the request is never forgotten. */
     TimerWheel.Timer requestTimer;
 
-    PendingRequest(Contract.Request request, InboundRequest from, InboundConnection client) {
-        this.job = request;
-        this.httpRequest = from;
+    PendingRequest(Contract.Request job, InboundRequest httpRequest, InboundConnection client) {
+        this.job = job;
+        this.httpRequest = httpRequest;
         this.client = client;
     }
 
-    /** The id that its client gave it. */
+    /** Returns the id assigned by the client. */
     String clientId() {
         return httpRequest.headers().id();
     }
 
-    /** The attempt that is still out, or null. */
+    /** Returns the attempt that has not ended yet, or null. */
     Attempt outstandingAttempt() {
         for (Attempt attempt : attempts) {
             if (!attempt.isEnded()) {
--- a/node/src/main/java/hookweir/net/PendingRequests.java
+++ b/node/src/main/java/hookweir/net/PendingRequests.java
@@ -9,75 +9,75 @@
 import java.util.Set;
 
 /**
- * The requests held, from their acceptance until each has its final answer and no attempt is out. The one place that gives
- * final answers and forgets requests. Belongs to the {@link Loop}.
+ * The pending requests: each from its acceptance until it has its final response and no attempt is outstanding. Only this class
+ * sends final responses and removes requests. Belongs to the {@link Loop}.
  */
 final class PendingRequests {
     private static final byte[] NO_BODY = new byte[0];
     private static final int MAX_RECENT_IDS = 4096;
 
     private final Invariants invariants;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ActiveSettings active;
     private final ResourceBudget budget;
-    private final HttpServer ingress;
+    private final HttpServer server;
     private final Map<Integer, PendingRequest> byNumber = new HashMap<>();
     private final Map<String, PendingRequest> byClientId = new HashMap<>();
-    /** Clients' ids of the last requests, held or not. */
+    /** The clients' ids of the most recent requests, pending or not. */
     private final Set<String> recentIds = BoundedSets.evictingOldest(MAX_RECENT_IDS);
 
-    PendingRequests(Invariants invariants, Metrics figures, ActiveSettings active, ResourceBudget room, HttpServer ingress) {
+    PendingRequests(Invariants invariants, Metrics metrics, ActiveSettings active, ResourceBudget budget, HttpServer server) {
         this.invariants = invariants;
-        this.figures = figures;
+        this.metrics = metrics;
         this.active = active;
-        this.budget = room;
-        this.ingress = ingress;
+        this.budget = budget;
+        this.server = server;
     }
 
-    /** The request that the decision module knows by this number, or null. */
+    /** Returns the request with this number, as used by the decision module, or null. */
     PendingRequest byNumber(int number) {
         return byNumber.get(number);
     }
 
-    /** The request that its client gave this id, or null. */
+    /** Returns the request with this client-assigned id, or null. */
     PendingRequest byClientId(String id) {
         return byClientId.get(id);
     }
 
-    /** Whether a request with this id is held, or was held a while ago. */
+    /** Returns whether a request with this id is pending or was recently. */
     boolean isKnown(String id) {
         return byClientId.containsKey(id) || recentIds.contains(id);
     }
 
-    /** Notes that a request with this id came; false where there was one before. */
+    /** Records the id of a new request; false if the id is already in use. */
     boolean claim(String id) {
         return !byClientId.containsKey(id) && recentIds.add(id);
     }
 
-    /** Holds a request. */
+    /** Adds a request. */
     void add(PendingRequest request) {
         byNumber.put(request.job.id, request);
         byClientId.put(request.httpRequest.headers().id(), request);
     }
 
-    /** Gives the final answer, unless there was one or its client left. */
+    /** Sends the final response, unless one was sent or the client disconnected. */
     void respond(PendingRequest request, int status, String retryAfter, byte[] body) {
         if (request.closed) {
             return;
         }
         request.closed = true;
         invariants.count("answers " + status);
-        figures.jobCompleted(active.className(request.job.requestClass), status);
-        ingress.respond(request.client, status, retryAfter, body);
+        metrics.jobCompleted(active.className(request.job.requestClass), status);
+        server.respond(request.client, status, retryAfter, body);
     }
 
-    /** Refuses a request: its client may try again, best after so long. */
+    /** Rejects a request; its client may retry, preferably after the given delay. */
     void reject(PendingRequest request, long retryAfterUs) {
         respond(request, HttpStatus.TOO_MANY_REQUESTS, retryAfterSeconds(retryAfterUs), NO_BODY);
         removeIfFinished(request);
     }
 
-    /** Forgets a request that has its final answer and no attempt out. */
+    /** Removes a request that has its final response and no outstanding attempt. */
     void removeIfFinished(PendingRequest request) {
         if (request.closed && request.outstandingAttempt() == null && byNumber.remove(request.job.id, request)) {
             byClientId.remove(request.httpRequest.headers().id(), request);
@@ -85,26 +85,26 @@
                 request.requestTimer.cancel();
             }
             budget.releaseJob();
-            ingress.releaseBody(request.httpRequest);
+            server.releaseBody(request.httpRequest);
         }
     }
 
-    /** How many are held. */
+    /** Returns the number of pending requests. */
     int size() {
         return byClientId.size();
     }
 
-    /** Whether none is held. */
+    /** Returns whether no request is pending. */
     boolean isEmpty() {
         return byNumber.isEmpty();
     }
 
-    /** How many of those held have their final answer. */
+    /** Returns how many of the pending requests have their final response. */
     long respondedCount() {
         return byNumber.values().stream().filter(request -> request.closed).count();
     }
 
-    /** A Retry-After header's value, or null for none. */
+    /** Formats a Retry-After value; null for none. */
     static String retryAfterSeconds(long us) {
         return us <= 0 ? null : String.format(Locale.ROOT, "%.3f", us / 1e6);
     }
--- a/node/src/main/java/hookweir/net/ProcessResources.java
+++ b/node/src/main/java/hookweir/net/ProcessResources.java
@@ -7,36 +7,42 @@
 import hookweir.room.ResourceBudget;
 
 /**
- * This process's share of descriptors and memory: all processes of a scheduler share one machine. Belongs to the
+ * This process's share of descriptors and memory, which all processes of a scheduler share on one machine. Belongs to the
  * {@link Loop}.
  */
 final class ProcessResources {
-    /** Beside clients and links: the JVM's own, operators', discovery's, those that linger, and those let in or ended in a round. */
+    /**
+     * Descriptors reserved for other uses than clients' and workers' connections: the JVM, operators, the list service, lingering
+     * connections, and those accepted or closed within one round of I/O.
+     */
     private static final int MIN_RESERVED_DESCRIPTORS = 80;
-    /** Of all descriptors, at least: the more there are, the more connections a crowd has ended that are not given back yet. */
+    /**
+     * At least one in this many descriptors is reserved: the more descriptors there are, the more connections many clients can have
+     * closed whose descriptors are not released yet.
+     */
     private static final int RESERVED_DIVISOR = 6;
-    /** The same for one of several processes, which serve side by side for a short while only. */
+    /** The same for one of several peer processes, which serve side by side only for a short time. */
     private static final int RESERVED_DESCRIPTORS_WITH_PEERS = 48;
     private static final int MIN_DESCRIPTORS = 16;
 
     private final ResourceBudget budget;
-    private final WorkerConnectionPool egress;
-    private final HttpServer ingress;
+    private final WorkerConnectionPool workerConnections;
+    private final HttpServer server;
     private final PeerProcesses succession;
     private final int maxDescriptors;
     private long maxHeldBytes;
     private int maxHeldJobs;
 
-    ProcessResources(Config config, ResourceBudget room, WorkerConnectionPool egress, HttpServer ingress, PeerProcesses succession) {
-        this.budget = room;
-        this.egress = egress;
-        this.ingress = ingress;
+    ProcessResources(Config config, ResourceBudget budget, WorkerConnectionPool workerConnections, HttpServer server, PeerProcesses succession) {
+        this.budget = budget;
+        this.workerConnections = workerConnections;
+        this.server = server;
         this.succession = succession;
         maxDescriptors = config.maxDescriptors();
         setLimits(config);
     }
 
-    /** Takes over the limits of a configuration; an update is to follow. */
+    /** Sets the limits of a configuration; {@link #update} has to follow. */
     void setLimits(Config config) {
         maxHeldBytes = config.maxHeldBytes();
         maxHeldJobs = config.maxHeldJobs();
@@ -46,12 +52,12 @@
         return processes > 1 ? RESERVED_DESCRIPTORS_WITH_PEERS : Math.max(MIN_RESERVED_DESCRIPTORS, maxDescriptors / RESERVED_DIVISOR);
     }
 
-    /** Divides the limits by the number of processes, and keeps within them. */
+    /** Divides the limits by the number of processes and enforces them. */
     void update() {
         int processes = 1 + succession.peerCount();
         budget.setLimits(maxHeldBytes / processes, maxHeldJobs / processes);
         budget.setMaxDescriptors(Math.max(MIN_DESCRIPTORS, maxDescriptors / processes - reservedDescriptors(processes)));
-        egress.enforceDescriptorLimit();
-        ingress.enforceDescriptorLimit();
+        workerConnections.enforceDescriptorLimit();
+        server.enforceDescriptorLimit();
     }
 }
--- a/node/src/main/java/hookweir/net/RequestRouter.java
+++ b/node/src/main/java/hookweir/net/RequestRouter.java
@@ -7,64 +7,64 @@
 import hookweir.net.server.InboundRequest;
 import hookweir.net.server.RequestHandler;
 
-/** Routes requests by their path: workers' call-backs, health checks and jobs. Belongs to the {@link Loop}. */
+/** Routes requests by path: callbacks from workers, health checks and jobs. Belongs to the {@link Loop}. */
 final class RequestRouter implements RequestHandler {
     private static final byte[] NO_BODY = new byte[0];
     private static final String POST = "POST";
 
     private final Invariants invariants;
     private final ServingState standing;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ActiveSettings active;
-    private final HttpServer ingress;
+    private final HttpServer server;
     private final CallbackReceiver callbacks;
     private final JobAdmission admission;
 
-    RequestRouter(Invariants invariants, ServingState standing, Metrics figures, ActiveSettings active, HttpServer ingress,
-            CallbackReceiver callbacks, JobAdmission intake) {
+    RequestRouter(Invariants invariants, ServingState standing, Metrics metrics, ActiveSettings active, HttpServer server,
+            CallbackReceiver callbacks, JobAdmission admission) {
         this.invariants = invariants;
         this.standing = standing;
-        this.figures = figures;
+        this.metrics = metrics;
         this.active = active;
-        this.ingress = ingress;
+        this.server = server;
         this.callbacks = callbacks;
-        this.admission = intake;
+        this.admission = admission;
     }
 
     @Override
-    public void handle(InboundConnection from, InboundRequest request) {
-        if (!route(from, request)) {
-            ingress.releaseBody(request);
+    public void handle(InboundConnection connection, InboundRequest request) {
+        if (!route(connection, request)) {
+            server.releaseBody(request);
         }
     }
 
-    /** Whether the request is held from now on. */
-    private boolean route(InboundConnection from, InboundRequest request) {
+    /** Routes a request and returns whether it is now pending. */
+    private boolean route(InboundConnection connection, InboundRequest request) {
         if (request.path().equals("/callback")) {
-            callback(from, request);
+            callback(connection, request);
         } else if (request.path().equals("/healthz")) {
-            ingress.respond(from, standing.wantsNewClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, null, NO_BODY);
+            server.respond(connection, standing.wantsNewClients() ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, null, NO_BODY);
         } else if (!isJob(request.path())) {
             invariants.count("ingress unknown path");
-            ingress.respond(from, HttpStatus.NOT_FOUND, null, NO_BODY);
+            server.respond(connection, HttpStatus.NOT_FOUND, null, NO_BODY);
         } else if (!request.method().equals(POST)) {
-            ingress.respond(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
+            server.respond(connection, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
         } else {
-            return admission.accept(from, request);
+            return admission.accept(connection, request);
         }
         return false;
     }
 
-    private void callback(InboundConnection from, InboundRequest request) {
-        ingress.markCallbackConnection(from);
+    private void callback(InboundConnection connection, InboundRequest request) {
+        server.markCallbackConnection(connection);
         if (request.method().equals(POST)) {
-            callbacks.receive(from, request.body());
+            callbacks.receive(connection, request.body());
         } else {
-            ingress.respond(from, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
+            server.respond(connection, HttpStatus.METHOD_NOT_ALLOWED, null, NO_BODY);
         }
     }
 
-    /** Classes without a key come to the bare path. */
+    /** Classes without a key use the bare path. */
     @Override
     public boolean isJob(String path) {
         return path.equals("/api") || path.startsWith("/api/");
@@ -79,7 +79,7 @@
     public void jobRejected(String className) {
         int number = classNumber(className);
         if (number >= 0) {
-            figures.jobRejected(active.className(number));
+            metrics.jobRejected(active.className(number));
         }
     }
 
--- a/node/src/main/java/hookweir/net/ResponseReader.java
+++ b/node/src/main/java/hookweir/net/ResponseReader.java
@@ -1,6 +1,6 @@
 package hookweir.net;
 
-/** Reads answers of workers and of discovery. One for each connection; belongs to the selector. */
+/** Parses responses of workers and of the list service. One per connection; used only on the selector thread. */
 final class ResponseReader extends MessageReader {
     private static final int MIN_FINAL_STATUS = 200;
     private static final int NO_CONTENT = 204;
@@ -24,19 +24,19 @@
         super(false);
     }
 
-    /** What came of an answer since the last call; null where its head is not whole. */
+    /** Returns the part of the response received since the last call; null if the head is not complete. */
     OutboundConnection.ResponsePart takePart() {
         if (!headComplete) {
             return null;
         }
         boolean keepAlive = framed && !connectionClose && (!http10 || connectionKeepAlive);
-        OutboundConnection.ResponsePart piece = new OutboundConnection.ResponsePart(status, declined, load, keepAlive, bodyBytes, isComplete());
+        OutboundConnection.ResponsePart part = new OutboundConnection.ResponsePart(status, declined, load, keepAlive, bodyBytes, isComplete());
         bodyBytes = new byte[0];
         headComplete = !isComplete();
-        return piece;
+        return part;
     }
 
-    /** Its end does not come with its connection's. */
+    /** Returns whether the response has a known length, so that it does not end with its connection. */
     boolean framed() {
         return framed;
     }
@@ -63,11 +63,11 @@
             return;
         }
         if (lineEquals("content-length", 0, nameEnd)) {
-            long told = parseDigits(from, to);
-            if (told < 0 || contentLength >= 0 && told != contentLength) {
+            long value = parseDigits(from, to);
+            if (value < 0 || contentLength >= 0 && value != contentLength) {
                 fail(BAD_REQUEST);
             }
-            contentLength = told;
+            contentLength = value;
         } else if (lineEquals("transfer-encoding", 0, nameEnd)) {
             chunked = lineEquals("chunked", from, to);
             if (!chunked) {
@@ -104,10 +104,10 @@
     }
 
     @Override
-    protected void onBody(byte[] from, int at, int n) {
-        int had = bodyBytes.length;
-        bodyBytes = java.util.Arrays.copyOf(bodyBytes, had + n);
-        System.arraycopy(from, at, bodyBytes, had, n);
+    protected void onBody(byte[] from, int at, int count) {
+        int oldLength = bodyBytes.length;
+        bodyBytes = java.util.Arrays.copyOf(bodyBytes, oldLength + count);
+        System.arraycopy(from, at, bodyBytes, oldLength, count);
     }
 
     @Override
--- a/node/src/main/java/hookweir/net/Shutdown.java
+++ b/node/src/main/java/hookweir/net/Shutdown.java
@@ -5,11 +5,11 @@
 import hookweir.net.server.HttpServer;
 
 /**
- * Sends clients away while operators, a later process or a planned end want it, and stops the loop at a planned end once
- * nothing is held. Belongs to the {@link Loop}.
+ * Closes clients' connections between requests while an operator, a successor process or a shutdown requires it, and stops the
+ * loop during a shutdown once no request is pending. Belongs to the {@link Loop}.
  */
 final class Shutdown {
-    /** SIGKILL comes no sooner than 3.7 s after SIGTERM; what can still be tried elsewhere is let go before. */
+    /** SIGKILL follows SIGTERM after 3.7 s at the earliest; jobs that can still be run elsewhere are released before that. */
     private static final long RETRY_WINDOW_US = 3_500_000;
     private static final long MIN_DRAIN_US = 900_000;
     private static final long EXIT_POLL_US = 50_000;
@@ -17,42 +17,42 @@
     private final Loop loop;
     private final Invariants invariants;
     private final ServingState standing;
-    private final HttpServer ingress;
+    private final HttpServer server;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private boolean draining;
-    /** A later process has taken over the clients. */
-    private boolean setSuccessorServing;
+    /** A successor process has taken over the clients. */
+    private boolean successorServing;
 
-    Shutdown(Loop loop, Invariants invariants, ServingState standing, HttpServer ingress, PendingRequests held, Contract.Dispatcher module) {
+    Shutdown(Loop loop, Invariants invariants, ServingState standing, HttpServer server, PendingRequests pending, Contract.Dispatcher module) {
         this.loop = loop;
         this.invariants = invariants;
         this.standing = standing;
-        this.ingress = ingress;
-        this.pending = held;
+        this.server = server;
+        this.pending = pending;
         this.module = module;
     }
 
-    /** A later process takes the clients (true), or is gone again. */
-    void setSuccessorServing(boolean on) {
-        if (on != setSuccessorServing) {
-            setSuccessorServing = on;
-            standing.setSuccessorServing(on);
-            ingress.setAccepting(!on);
+    /** Called when a successor process has taken over the clients (true) or has ended (false). */
+    void setSuccessorServing(boolean serving) {
+        if (serving != successorServing) {
+            successorServing = serving;
+            standing.setSuccessorServing(serving);
+            server.setAccepting(!serving);
             updateClientDraining();
         }
     }
 
-    /** Sends clients away or keeps them, as operators, processes and signals have it by now. A planned end is not undone. */
+    /** Starts or stops draining the clients, according to operators, successor processes and signals. Does not undo a shutdown. */
     void updateClientDraining() {
-        boolean away = standing.isQuiesced() || draining || setSuccessorServing;
-        invariants.count(away ? "clients sent away" : "clients welcome");
-        ingress.setDraining(away);
+        boolean drainClients = standing.isQuiesced() || draining || successorServing;
+        invariants.count(drainClients ? "clients sent away" : "clients welcome");
+        server.setDraining(drainClients);
     }
 
     /**
-     * After SIGTERM: ends the clients' connections between requests, so that they go to other schedulers, lets
-     * the module refuse what it can't see to its end, and stops the loop once nothing is held.
+     * Handles SIGTERM: closes clients' connections between requests, so that clients switch to other schedulers, lets the module
+     * reject the requests that it can't complete, and stops the loop once no request is pending.
      */
     void drain() {
         if (draining) {
@@ -60,22 +60,22 @@
         }
         draining = true;
         standing.startShutdown();
-        int heldBefore = pending.size();
-        long since = loop.nowUs();
-        ingress.setDraining(true);
-        module.shutdownStarted(since, since + RETRY_WINDOW_US);
-        Log.line("draining, held=" + heldBefore + ", of them let go at once " + pending.respondedCount());
-        loop.schedule(MIN_DRAIN_US, () -> exitWhenIdle(since));
+        int pendingBefore = pending.size();
+        long startedUs = loop.nowUs();
+        server.setDraining(true);
+        module.shutdownStarted(startedUs, startedUs + RETRY_WINDOW_US);
+        Log.line("draining, held=" + pendingBefore + ", of them let go at once " + pending.respondedCount());
+        loop.schedule(MIN_DRAIN_US, () -> exitWhenIdle(startedUs));
     }
 
-    private void exitWhenIdle(long since) {
-        if (pending.isEmpty() && ingress.isDrained()) {
-            // Whoever comes now waits in an inherited socket for the process that follows.
-            ingress.setAccepting(false);
-            Log.line("idle " + (loop.nowUs() - since) / 1000 + " ms after the signal, leaving; " + invariants);
+    private void exitWhenIdle(long startedUs) {
+        if (pending.isEmpty() && server.isDrained()) {
+            // Clients that connect from now on wait in the backlog of an inherited socket for the successor process.
+            server.setAccepting(false);
+            Log.line("idle " + (loop.nowUs() - startedUs) / 1000 + " ms after the signal, leaving; " + invariants);
             loop.stop();
         } else {
-            loop.schedule(EXIT_POLL_US, () -> exitWhenIdle(since));
+            loop.schedule(EXIT_POLL_US, () -> exitWhenIdle(startedUs));
         }
     }
 }
--- a/node/src/main/java/hookweir/net/SighupHandler.java
+++ b/node/src/main/java/hookweir/net/SighupHandler.java
@@ -3,38 +3,38 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP. A JVM without a handler ends on it, so there is one before the configuration is read; what comes until somebody
- * heeds it is kept. The class library has no public interface for signals; the unsupported one is called by reflection, as
- * its name alone is a compiler warning.
+ * Handles SIGHUP. A JVM without a handler exits on it, so a handler is installed before the configuration is read, and a signal
+ * that arrives before a task is set is remembered. The class library has no public interface for signals. The unsupported one is
+ * called by reflection, because any direct reference to it causes a compiler warning.
  */
 final class SighupHandler {
-    /** Both guarded by this class. */
+    /** Guarded, like {@link #signalPending}, by the lock of this class. */
     private static Runnable handler;
     private static boolean signalPending;
 
     private SighupHandler() {
     }
 
-    /** From now on the process lives through it. */
+    /** Installs the handler; from now on the process does not exit on SIGHUP. */
     static void install() {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object made = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object proxy = Proxy.newProxyInstance(handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (self, method, args) -> {
                 if (method.getName().equals("handle")) {
                     handleSignal();
                 }
                 return null;
             });
-            signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance("HUP"), made);
+            signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), proxy);
         } catch (ReflectiveOperationException e) {
             Log.line("SIGHUP can't be handled: " + e);
         }
     }
 
-    /** From now on each one, and one that came before, runs the task, on a thread of its own. */
-    static synchronized void onSignal(Runnable newTask) {
-        handler = newTask;
+    /** Runs the task on a separate thread for every signal from now on, and once if a signal has already arrived. */
+    static synchronized void onSignal(Runnable newHandler) {
+        handler = newHandler;
         if (signalPending) {
             signalPending = false;
             new Thread(handler, "hang-up").start();
--- a/node/src/main/java/hookweir/net/SocketHost.java
+++ b/node/src/main/java/hookweir/net/SocketHost.java
@@ -20,9 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * The decision module's host, on the sockets. Owns the module, puts the parts of a scheduler together and passes the module's
- * calls to them; all of it runs on the {@link Loop}. The module is never entered from inside one of its own calls: what a call
- * leads to is posted.
+ * The decision module's host on real sockets. Creates the module and the other parts of a scheduler, and forwards the module's
+ * calls to them. Everything runs on the {@link Loop}. The module is never re-entered from one of its own calls: the
+ * consequences of a call are posted as tasks.
  */
 public final class SocketHost implements Contract.Host {
     private static final byte[] NO_BODY = new byte[0];
@@ -31,11 +31,11 @@
     private final Invariants invariants;
     private final EventLog events;
     private final ServingState standing;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ActiveSettings active;
     private final Contract.Dispatcher module;
-    private final HttpServer ingress;
-    private final WorkerConnectionPool egress;
+    private final HttpServer server;
+    private final WorkerConnectionPool workerConnections;
     private final Membership membership;
     private final PeerProcesses succession;
     private final ProcessResources resources;
@@ -46,46 +46,47 @@
     private final RequestRouter router;
     private final Shutdown shutdown;
     private final StatusReporter reporter;
-    /** Another process of this scheduler serves already when this one starts. */
+    /** Another process of this scheduler was already serving when this one started. */
     private boolean startedAsSuccessor;
 
     public SocketHost(Config config, Loop loop, Transport transport, Invariants invariants, ServingState standing,
-            Metrics figures) {
+            Metrics metrics) {
         this.loop = loop;
         this.invariants = invariants;
         this.standing = standing;
-        this.figures = figures;
+        this.metrics = metrics;
         events = new EventLog(loop::nowUs, invariants);
         ResourceBudget budget = new ResourceBudget(config.maxHeldBytes(), config.maxHeldJobs());
-        active = new ActiveSettings(budget, figures, config.settings());
-        Connector dialer = new Connector(loop, transport);
-        ingress = new HttpServer(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
-        egress = new WorkerConnectionPool(loop, dialer, invariants, config.settings().connectTimeoutUs, config.settings().connectionIdleTimeoutUs, budget, ingress::connectionCount);
+        active = new ActiveSettings(budget, metrics, config.settings());
+        Connector connector = new Connector(loop, transport);
+        server = new HttpServer(loop, transport, invariants, events, budget, this::outboundConnections, new RequestForwarder());
+        workerConnections = new WorkerConnectionPool(loop, connector, invariants, config.settings().connectTimeoutUs,
+            config.settings().connectionIdleTimeoutUs, budget, server::connectionCount);
         module = new Policy(active.settings(), config.seed(), this);
-        membership = new Membership(config, loop, dialer, invariants, events, egress, module, this::ready);
+        membership = new Membership(config, loop, connector, invariants, events, workerConnections, module, this::ready);
         succession = new PeerProcesses(loop, invariants, config.handoverSocketPath(), new PeerListener());
-        resources = new ProcessResources(config, budget, egress, ingress, succession);
-        pending = new PendingRequests(invariants, figures, active, budget, ingress);
-        attempts = new AttemptSender(this, loop, invariants, events, active, egress, pending, module);
-        prober = new Prober(loop, invariants, active, egress, module);
-        callbacks = new CallbackReceiver(loop, invariants, active, ingress, pending, module, succession);
-        JobAdmission intake = new JobAdmission(loop, invariants, figures, active, budget, ingress, pending, module);
-        router = new RequestRouter(invariants, standing, figures, active, ingress, callbacks, intake);
-        shutdown = new Shutdown(loop, invariants, standing, ingress, pending, module);
-        reporter = new StatusReporter(loop, invariants, figures, budget, ingress, egress, pending, module, membership);
+        resources = new ProcessResources(config, budget, workerConnections, server, succession);
+        pending = new PendingRequests(invariants, metrics, active, budget, server);
+        attempts = new AttemptSender(this, loop, invariants, events, active, workerConnections, pending, module);
+        prober = new Prober(loop, invariants, active, workerConnections, module);
+        callbacks = new CallbackReceiver(loop, invariants, active, server, pending, module, succession);
+        JobAdmission admission = new JobAdmission(loop, invariants, metrics, active, budget, server, pending, module);
+        router = new RequestRouter(invariants, standing, metrics, active, server, callbacks, admission);
+        shutdown = new Shutdown(loop, invariants, standing, server, pending, module);
+        reporter = new StatusReporter(loop, invariants, metrics, budget, server, workerConnections, pending, module, membership);
         resources.update();
     }
 
-    /** Links to workers; the ingress asks before there are any. */
+    /** Returns the number of connections to workers; the server calls this before the worker side exists. */
     private int outboundConnections() {
-        return egress == null ? 0 : egress.connectionCount();
+        return workerConnections == null ? 0 : workerConnections.connectionCount();
     }
 
-    /** Passes requests to the router, which can't be made before the ingress that answers them. */
+    /** Forwards requests to the router, which can't be created before the server that sends its responses. */
     private final class RequestForwarder implements RequestHandler {
         @Override
-        public void handle(InboundConnection from, InboundRequest request) {
-            router.handle(from, request);
+        public void handle(InboundConnection connection, InboundRequest request) {
+            router.handle(connection, request);
         }
 
         @Override
@@ -109,7 +110,7 @@
         }
     }
 
-    /** Receives what other processes of this scheduler do. */
+    /** Receives events from peer processes of this scheduler. */
     private final class PeerListener implements PeerProcesses.Listener {
         @Override
         public void peersChanged() {
@@ -123,32 +124,32 @@
         }
     }
 
-    // ---- start, reload and end ----
+    // ---- start, reload and shutdown ----
 
-    /** Begins to learn of the workers. On the loop. */
+    /** Starts to receive the worker list. On the loop. */
     public void start(Config config) {
         membership.start(config);
-        egress.start();
+        workerConnections.start();
         reporter.start();
     }
 
     /**
-     * Takes the clients' address; the port that it got. Where a process of this scheduler serves already, nobody is accepted until
-     * this one is {@link #ready}. Before the loop runs.
+     * Binds the clients' address and returns the port. If another process of this scheduler is serving already, no connection is
+     * accepted until this one is {@link #ready}. To be called before the loop runs.
      */
     public int listen(Config config) throws IOException {
-        int port = ingress.listen(config.listenAddress(), config.inheritsListenSocket());
+        int port = server.listen(config.listenAddress(), config.inheritsListenSocket());
         startedAsSuccessor = succession.connectToPredecessor();
         if (startedAsSuccessor) {
-            ingress.setAccepting(false);
+            server.setAccepting(false);
         }
         return port;
     }
 
-    /** The workers are known as well as they can be: requests are sent on from now on. */
+    /** Called once, when the worker list is as complete as it can be: requests are sent to workers from now on. */
     private void ready() {
         if (startedAsSuccessor) {
-            ingress.setAccepting(true);
+            server.setAccepting(true);
         }
         reporter.publish();
         standing.startServing();
@@ -157,81 +158,81 @@
     }
 
     /**
-     * Takes over a configuration that was read and checked whole. Jobs under way keep the numbers of their classes.
-     * Where another address serves the list, what was told of it so far stands until that one speaks.
+     * Applies a configuration that has been read and validated completely. Pending jobs keep their class numbers. If the address
+     * of the list service changed, the current worker list stays in use until the new service responds.
      */
     void reload(Config next) {
         active.apply(next.settings());
         resources.setLimits(next);
         resources.update();
-        egress.setLimits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
+        workerConnections.setLimits(next.settings().connectTimeoutUs, next.settings().connectionIdleTimeoutUs);
         membership.applySettings(next.settings());
         module.settingsChanged(loop.nowUs(), active.settings());
         membership.moveTo(next.listServiceAddress());
         invariants.count("reloads");
-        figures.configurationReloaded(true);
+        metrics.configurationReloaded(true);
         Log.line("reloaded: discovery " + next.listServiceAddress() + ", classes " + next.settings().classNumbers + ", at most "
             + active.settings().maxAttempts + " attempts");
     }
 
-    /** Operators sent clients away or called them back: those connected follow. A planned end is not undone by it. */
+    /** Called when an operator quiesced or resumed the scheduler: connected clients are drained or kept. Does not undo a shutdown. */
     void quiesceChanged() {
         shutdown.updateClientDraining();
     }
 
-    /** Begins the planned end, which stops the loop once nothing is held. */
+    /** Starts the graceful shutdown, which stops the loop once no request is pending. */
     public void drain() {
         shutdown.drain();
     }
 
-    /** Ends what no connection's end does. */
+    /** Releases what closing the connections does not release. */
     void close() {
         succession.close();
     }
 
-    // ---- what attempts need ----
+    // ---- used by attempts ----
 
-    /** The loop that all this runs on. */
+    /** Returns the loop that runs all parts. */
     Loop loop() {
         return loop;
     }
 
-    /** An attempt's last byte is written. */
+    /** Called when the last byte of an attempt has been written. */
     void attemptWritten() {
-        figures.attemptDispatched();
+        metrics.attemptDispatched();
     }
 
-    /** A report from an answer's header, or null. */
+    /** Parses the load report in a response header; null if there is none. */
     Report parseLoadReport(String header) {
         return active.loadReport().parsePairs(header);
     }
 
-    /** A second attempt at it would do no harm. */
+    /** Returns whether a second attempt at the request does no harm. */
     boolean isRepeatable(PendingRequest request) {
         return active.isRepeatable(request.job.requestClass);
     }
 
-    /** What is known of the workers is not out of date: an attempt may begin. */
+    /** Returns whether the worker list is fresh enough to start an attempt. */
     boolean mayStartAttempt() {
         return membership.mayStartAttempt();
     }
 
-    /** Attempts can be called off. */
+    /** Returns whether attempts can be cancelled. */
     boolean canCancelAttempts() {
         return active.settings().cancelAllowed;
     }
 
-    /** A healthy worker says sooner than this that it took a job. */
+    /** Returns the time within which a healthy worker accepts a job. */
     long acceptTimeoutUs() {
         return active.acceptTimeoutUs();
     }
 
-    /** Tells a worker that an attempt that it took is given up; runs the task once that is on its way, or can't be. */
+    /** Notifies a worker that an attempt it accepted is cancelled; runs the task once the notice is sent or can't be sent. */
     void notifyCancelled(Attempt attempt, Runnable after) {
         attempts.notifyCancelled(attempt, after);
     }
 
-    /** The one end of every attempt. */
+    /** Called exactly once for every attempt, when it ends. */
     void attemptEnded(Attempt attempt, Outcome outcome, long elapsedUs, Report report, byte[] result) {
         attempts.attemptEnded(attempt, outcome, elapsedUs, report, result);
     }
@@ -251,10 +252,10 @@
     }
 
     @Override
-    public void reject(int requestId, long comeBackUs) {
+    public void reject(int requestId, long retryAfterUs) {
         PendingRequest request = pending.byNumber(requestId);
         if (invariants.check(request != null && !request.closed, "refusal of a closed request")) {
-            pending.reject(request, comeBackUs);
+            pending.reject(request, retryAfterUs);
         }
     }
 
@@ -279,7 +280,7 @@
 
     @Override
     public void startTimer(long token, long delayUs) {
-        // What lies unread is heard before a held job goes out: its client may have left, or a worker been announced as leaving.
+        // Unread data is processed before a queued job is sent: its client may have disconnected, or a worker may be draining.
         loop.schedule(delayUs, () -> loop.afterIoRound(() -> module.timerExpired(loop.nowUs(), token)));
     }
 
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -6,7 +6,7 @@
 import hookweir.net.worker.WorkerConnectionPool;
 import hookweir.room.ResourceBudget;
 
-/** Reports at intervals what the process holds: to the log, and to operators' figures. Belongs to the {@link Loop}. */
+/** Periodically logs the state of the process and publishes it as metrics. Belongs to the {@link Loop}. */
 final class StatusReporter {
     private static final long LOG_INTERVAL_US = 10_000_000;
     private static final long US_PER_MS = 1_000;
@@ -14,35 +14,35 @@
 
     private final Loop loop;
     private final Invariants invariants;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ResourceBudget budget;
-    private final HttpServer ingress;
-    private final WorkerConnectionPool egress;
+    private final HttpServer server;
+    private final WorkerConnectionPool workerConnections;
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Metrics figures, ResourceBudget room, HttpServer ingress, WorkerConnectionPool egress, PendingRequests held,
+    StatusReporter(Loop loop, Invariants invariants, Metrics metrics, ResourceBudget budget, HttpServer server, WorkerConnectionPool workerConnections, PendingRequests pending,
             Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
-        this.figures = figures;
-        this.budget = room;
-        this.ingress = ingress;
-        this.egress = egress;
-        this.pending = held;
+        this.metrics = metrics;
+        this.budget = budget;
+        this.server = server;
+        this.workerConnections = workerConnections;
+        this.pending = pending;
         this.module = module;
         this.membership = membership;
     }
 
-    /** Begins to report. */
+    /** Starts reporting. */
     void start() {
         loop.schedule(LOG_INTERVAL_US, this::logRegularly);
         publishRegularly();
     }
 
     private void logRegularly() {
-        Log.line("held=" + pending.size() + " ingress=" + ingress.connectionCount() + " egress=" + egress.connectionCount() + " bytes=" + budget.heldBytes()
+        Log.line("held=" + pending.size() + " ingress=" + server.connectionCount() + " egress=" + workerConnections.connectionCount() + " bytes=" + budget.heldBytes()
             + " timers=" + loop.timerCount() + " " + invariants);
         loop.schedule(LOG_INTERVAL_US, this::logRegularly);
     }
@@ -52,10 +52,10 @@
         loop.schedule(PUBLISH_INTERVAL_US, this::publishRegularly);
     }
 
-    /** Publishes the figures. The module is asked here, so that no operator waits for the loop. */
+    /** Publishes the metrics. The module is queried here, so that serving metrics never waits for the loop. */
     void publish() {
-        figures.setHeld(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
-        figures.setListLease(membership.leaseRemainingUs() / US_PER_MS);
-        figures.setWorkers(egress.workerCount(), module.excludedWorkerCount(loop.nowUs()));
+        metrics.setHeld(budget.heldBytes(), budget.maxBytes(), budget.heldJobs(), budget.maxJobs());
+        metrics.setListLease(membership.leaseRemainingUs() / US_PER_MS);
+        metrics.setWorkers(workerConnections.workerCount(), module.excludedWorkerCount(loop.nowUs()));
     }
 }
--- a/node/src/main/java/hookweir/net/Transport.java
+++ b/node/src/main/java/hookweir/net/Transport.java
@@ -14,18 +14,18 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Owns the one Grizzly transport, its single selector thread and the buffer pool. Filters run on that thread (same-thread
- * strategy) and only parse and post to the {@link Loop}, which takes its turn on it too: there is no further thread.
+ * Owns the Grizzly transport, its single selector thread and the buffer pool. Filters run on that thread (same-thread strategy);
+ * they only parse, and post to the {@link Loop}, which runs on the same thread.
  */
 public final class Transport {
-    /** The one size of all buffers; a longer message is a chain of these. */
+    /** The size of all buffers; a longer message is a chain of buffers. */
     public static final int BUFFER_BYTES = 4096;
-    /** The most bytes of a body, by the protocol. */
+    /** The maximum size of a body, as defined by the protocol. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The most bytes of a message's headers. */
+    /** The maximum size of the head of a message. */
     public static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final float POOL_SHARE_OF_HEAP = 0.1f;
-    /** What waits at a shut door waits here; beyond it the kernel drops, and peers try again only after a second. */
+    /** Holds connections while accepting is paused. The kernel drops those beyond it, and peers retry only after a second. */
     private static final int ACCEPT_BACKLOG = 4096;
     private static final Logger GRIZZLY_LOGGER = Logger.getLogger("org.glassfish.grizzly");
 
@@ -36,7 +36,7 @@
 
     public Transport(Invariants invariants, Loop loop) {
         memoryManager = memoryManager(invariants);
-        // Peers may reset or garble any connection at any time; that is counted here, not logged there.
+        // Peers may reset any connection or send garbage at any time; that is counted by this project and not logged by Grizzly.
         GRIZZLY_LOGGER.setLevel(Level.SEVERE);
         tcp = TCPNIOTransportBuilder.newInstance()
             .setName("hookweir")
@@ -56,14 +56,14 @@
     }
 
     private static MemoryManager<? extends Buffer> memoryManager(Invariants invariants) {
-        PooledMemoryManager made = new PooledMemoryManager(BUFFER_BYTES, 1, 0, 1, POOL_SHARE_OF_HEAP, 0, true);
-        made.getMonitoringConfig().addProbes(new MemoryProbe.Adapter() {
+        PooledMemoryManager manager = new PooledMemoryManager(BUFFER_BYTES, 1, 0, 1, POOL_SHARE_OF_HEAP, 0, true);
+        manager.getMonitoringConfig().addProbes(new MemoryProbe.Adapter() {
             @Override
             public void onBufferAllocateEvent(int size) {
-                invariants.count("buffers made"); // one that does not come back to the pool shows here
+                invariants.count("buffers made"); // shows buffers that are not returned to the pool
             }
         });
-        return made;
+        return manager;
     }
 
     /** Starts the selector. */
@@ -71,48 +71,48 @@
         tcp.start();
     }
 
-    /** Closes every connection and ends the selector. */
+    /** Closes all connections and stops the selector. */
     public void stop() throws IOException {
         tcp.shutdownNow();
     }
 
-    /** The transport itself, for listeners and dials. */
+    /** Returns the Grizzly transport, for listeners and connectors. */
     public TCPNIOTransport tcp() {
         return tcp;
     }
 
-    /** A pooled copy of these bytes; whoever writes it to a connection gives it back by that. */
+    /** Copies the bytes to a pooled buffer, which returns to the pool once written to a connection. */
     public Buffer pooledCopy(byte[] bytes) {
         if (bytes.length == 0) {
             return Buffers.EMPTY_BUFFER;
         }
-        Buffer b = memoryManager.allocate(bytes.length);
-        b.put(bytes).flip();
-        b.allowBufferDispose(true);
-        return b;
+        Buffer buffer = memoryManager.allocate(bytes.length);
+        buffer.put(bytes).flip();
+        buffer.allowBufferDispose(true);
+        return buffer;
     }
 
-    /** A message to be built, from its start; one at a time, on the selector's thread. */
+    /** Returns the shared builder for a new message. One message at a time, on the selector thread. */
     public MessageBuilder beginMessage() {
         return beginMessage.reset();
     }
 
-    /** A pooled copy of the message that was built and of this body behind it, to be written. */
+    /** Copies a built head and a body to a pooled buffer, which returns to the pool once written to a connection. */
     public Buffer pooledCopy(MessageBuilder head, byte[] body) {
-        Buffer b = memoryManager.allocate(head.length() + body.length);
-        b.put(head.bytes(), 0, head.length()).put(body).flip();
-        b.allowBufferDispose(true);
-        return b;
+        Buffer buffer = memoryManager.allocate(head.length() + body.length);
+        buffer.put(head.bytes(), 0, head.length()).put(body).flip();
+        buffer.allowBufferDispose(true);
+        return buffer;
     }
 
-    /** Copies a received buffer, which goes back to the pool, to an array that the next call uses again. */
-    public byte[] copyReceived(Buffer b) {
-        int n = b.remaining();
-        if (n > scratch.length) {
-            scratch = new byte[n];
+    /** Copies a received buffer to an array that the next call reuses, and returns the buffer to the pool. */
+    public byte[] copyReceived(Buffer buffer) {
+        int length = buffer.remaining();
+        if (length > scratch.length) {
+            scratch = new byte[length];
         }
-        b.get(scratch, 0, n);
-        b.tryDispose();
+        buffer.get(scratch, 0, length);
+        buffer.tryDispose();
         return scratch;
     }
 }
