--- a/lab/src/main/java/hookweir/lab/scale/ConfigurationSource.java
+++ b/lab/src/main/java/hookweir/lab/scale/ConfigurationSource.java
@@ -14,7 +14,7 @@
 
     /** A machine that polls. */
     private static final class Poller {
-        private int held;
+        private int receivedChanges;
         private boolean stopped;
     }
 
@@ -23,57 +23,57 @@
     private final Random random;
     private final long pollUs;
     private final double changesPerHour;
-    private final int fileBytes = HttpText.ok(HttpText.configuration(Shape.TEAMS)).length();
-    private final List<Long> changedUs = new ArrayList<>();
-    private final Samples inForceS;
+    private final int fileBytes = HttpMessages.okResponse(HttpMessages.configurationFile(Shape.TEAM_COUNT)).length();
+    private final List<Long> changeTimesUs = new ArrayList<>();
+    private final Samples activationDelayS;
 
     ConfigurationSource(EventQueue queue, Traffic traffic, Random random, Shape shape, Samples inForceS) {
         this.queue = queue;
         this.traffic = traffic;
         this.random = random;
-        this.inForceS = inForceS;
+        this.activationDelayS = inForceS;
         pollUs = shape.pollMs() * 1000;
         changesPerHour = shape.changesPerHour();
         if (changesPerHour > 0) {
-            nextChange();
+            scheduleNextChange();
         }
     }
 
-    private void nextChange() {
+    private void scheduleNextChange() {
         double gap = -Math.log(1 - random.nextDouble()) * HOUR_US / changesPerHour;
-        queue.after((long) gap, () -> {
-            changedUs.add(queue.nowUs());
-            nextChange();
+        queue.schedule((long) gap, () -> {
+            changeTimesUs.add(queue.nowUs());
+            scheduleNextChange();
         });
     }
 
     /**
      * A machine begins to poll.
      *
-     * @param retune runs when a change came
+     * @param onChange runs when a change came
      * @return ends it
      */
-    Runnable poll(Runnable retune) {
+    Runnable startPolling(Runnable onChange) {
         Poller poller = new Poller();
-        poller.held = changedUs.size();
-        traffic.connection(Role.SCHEDULER, Role.CONFIGURATION, MessageKind.CONFIGURATION);
-        queue.after((long) (random.nextDouble() * pollUs), () -> ask(poller, retune));
+        poller.receivedChanges = changeTimesUs.size();
+        traffic.recordConnection(Role.SCHEDULER, Role.CONFIGURATION, MessageKind.CONFIGURATION);
+        queue.schedule((long) (random.nextDouble() * pollUs), () -> pollOnce(poller, onChange));
         return () -> poller.stopped = true;
     }
 
-    private void ask(Poller poller, Runnable retune) {
+    private void pollOnce(Poller poller, Runnable onChange) {
         if (poller.stopped) {
             return;
         }
-        int present = changedUs.size();
-        int answer = present > poller.held ? fileBytes : HttpText.NOT_MODIFIED.length();
-        traffic.call(Role.SCHEDULER, Role.CONFIGURATION, MessageKind.CONFIGURATION, HttpText.configurationRequest(HOST).length(), answer);
-        for (; poller.held < present; poller.held++) {
-            inForceS.add((queue.nowUs() + 2 * Network.ZONE_US - changedUs.get(poller.held)) / 1e6);
+        int totalChanges = changeTimesUs.size();
+        int responseBytes = totalChanges > poller.receivedChanges ? fileBytes : HttpMessages.NOT_MODIFIED.length();
+        traffic.recordCall(Role.SCHEDULER, Role.CONFIGURATION, MessageKind.CONFIGURATION, HttpMessages.configurationRequest(HOST).length(), responseBytes);
+        for (; poller.receivedChanges < totalChanges; poller.receivedChanges++) {
+            activationDelayS.add((queue.nowUs() + 2 * Network.SAME_ZONE_US - changeTimesUs.get(poller.receivedChanges)) / 1e6);
         }
-        if (answer == fileBytes) {
-            queue.after(2 * Network.ZONE_US, retune);
+        if (responseBytes == fileBytes) {
+            queue.schedule(2 * Network.SAME_ZONE_US, onChange);
         }
-        queue.after(pollUs, () -> ask(poller, retune));
+        queue.schedule(pollUs, () -> pollOnce(poller, onChange));
     }
 }
--- /dev/null
+++ b/lab/src/main/java/hookweir/lab/scale/ConnectionPool.java
@@ -0,0 +1,177 @@
+package hookweir.lab.scale;
+
+import hookweir.room.ResourceBudget;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Iterator;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.IntSupplier;
+
+/**
+ * A scheduler's connections to workers, kept as the real one kept them before it used some without rest: the newest idle one is used
+ * first, one that carried a job rests before its next call, idle ones end after a while, and no worker keeps more than a few.
+ */
+final class ConnectionPool {
+    /** A worker's machine closes idle connections after 10 s; the scheduler does so at nine tenths of it. */
+    private static final long IDLE_TIMEOUT_US = 9_000_000;
+    private static final long SWEEP_INTERVAL_US = 500_000;
+    private static final int MIN_IDLE_LIMIT_PER_WORKER = 8;
+    private static final int MAX_DELAYED_CONNECTIONS = 4;
+    /** How long a link rests after an answer to a job. */
+    static final long REUSE_DELAY_US = 30_000;
+    static final long CONNECT_TIMEOUT_US = 250_000;
+
+    /** One connection. */
+    static final class Connection {
+        private final SimulatedWorker worker;
+        private final int incarnation;
+        private long idleSinceUs;
+        private long reusableAtUs;
+        private boolean reserved;
+
+        private Connection(SimulatedWorker worker) {
+            this.worker = worker;
+            incarnation = worker.incarnation;
+        }
+
+        /** The process at its other end is gone. */
+        boolean isBroken() {
+            return incarnation != worker.incarnation;
+        }
+    }
+
+    private final EventQueue queue;
+    private final Network network;
+    private final Traffic traffic;
+    private final int zone;
+    private final ResourceBudget resourceBudget;
+    private final IntSupplier acceptedConnections;
+    private final IntSupplier listedWorkers;
+    private final Map<Integer, Deque<Connection>> idleConnections = new TreeMap<>();
+    private int openCount;
+    private boolean closed;
+
+    ConnectionPool(EventQueue queue, Network network, Traffic traffic, int zone, ResourceBudget resourceBudget, IntSupplier acceptedConnections, IntSupplier listedWorkers) {
+        this.queue = queue;
+        this.network = network;
+        this.traffic = traffic;
+        this.zone = zone;
+        this.resourceBudget = resourceBudget;
+        this.acceptedConnections = acceptedConnections;
+        this.listedWorkers = listedWorkers;
+        queue.schedule(SWEEP_INTERVAL_US, this::closeExpired);
+    }
+
+    /**
+     * Gets a link.
+     *
+     * @param kind of the connection, where a new one is needed
+     * @param onReady gets the link, or null where none came up
+     */
+    void acquire(SimulatedWorker worker, MessageKind kind, Consumer<Connection> onReady) {
+        Deque<Connection> connections = idleConnections.computeIfAbsent(worker.id, id -> new ArrayDeque<>());
+        removeBroken(connections);
+        Connection soonest = null;
+        int delayed = 0;
+        for (Iterator<Connection> it = connections.iterator(); it.hasNext();) {
+            Connection connection = it.next();
+            if (connection.reserved) {
+                continue;
+            }
+            if (connection.reusableAtUs <= queue.nowUs()) {
+                it.remove();
+                onReady.accept(connection);
+                return;
+            }
+            delayed++;
+            soonest = soonest == null || connection.reusableAtUs < soonest.reusableAtUs ? connection : soonest;
+        }
+        if (delayed >= MAX_DELAYED_CONNECTIONS) {
+            connections.remove(soonest);
+            onReady.accept(soonest);
+        } else if (soonest != null) {
+            awaitReuse(soonest, kind, onReady);
+        } else {
+            connect(worker, kind, onReady);
+        }
+    }
+
+    private void awaitReuse(Connection connection, MessageKind kind, Consumer<Connection> onReady) {
+        connection.reserved = true;
+        queue.schedule(connection.reusableAtUs - queue.nowUs(), () -> {
+            connection.reserved = false;
+            acquire(connection.worker, kind, onReady);
+        });
+    }
+
+    private void connect(SimulatedWorker worker, MessageKind kind, Consumer<Connection> onReady) {
+        if (closed || !network.canReach(zone, worker) || !resourceBudget.mayConnectToWorker(openCount, acceptedConnections.getAsInt()) && !evictOne()) {
+            queue.schedule(CONNECT_TIMEOUT_US, () -> onReady.accept(null));
+            return;
+        }
+        openCount++;
+        traffic.recordConnection(Role.SCHEDULER, Role.WORKER, kind);
+        queue.schedule(2 * network.oneWayUs(zone, worker.zone), () -> onReady.accept(new Connection(worker)));
+    }
+
+    private boolean evictOne() {
+        for (Deque<Connection> connections : idleConnections.values()) {
+            if (connections.pollLast() != null) {
+                openCount--;
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Takes a link back. */
+    void release(Connection connection, long reuseDelayUs) {
+        Deque<Connection> connections = idleConnections.get(connection.worker.id);
+        if (connection.isBroken() || connections == null) {
+            discard(connection);
+            return;
+        }
+        connection.idleSinceUs = queue.nowUs();
+        connection.reusableAtUs = queue.nowUs() + reuseDelayUs;
+        connections.addFirst(connection);
+        if (connections.size() > Math.max(MIN_IDLE_LIMIT_PER_WORKER, resourceBudget.maxIdleWorkerConnections() / Math.max(1, listedWorkers.getAsInt()))) {
+            connections.pollLast();
+            openCount--;
+        }
+    }
+
+    /** A link that carries nothing any more. */
+    void discard(Connection connection) {
+        openCount--;
+    }
+
+    private void removeBroken(Deque<Connection> connections) {
+        int before = connections.size();
+        connections.removeIf(Connection::isBroken);
+        openCount -= before - connections.size();
+    }
+
+    private void closeExpired() {
+        for (Deque<Connection> connections : idleConnections.values()) {
+            int before = connections.size();
+            connections.removeIf(connection -> !connection.reserved && queue.nowUs() - connection.idleSinceUs + SWEEP_INTERVAL_US >= IDLE_TIMEOUT_US);
+            openCount -= before - connections.size();
+        }
+        if (!closed) {
+            queue.schedule(SWEEP_INTERVAL_US, this::closeExpired);
+        }
+    }
+
+    /** Its process ended. */
+    void close() {
+        closed = true;
+        idleConnections.clear();
+    }
+
+    /** Links that are open now. */
+    int openCount() {
+        return openCount;
+    }
+}
--- a/lab/src/main/java/hookweir/lab/scale/EventQueue.java
+++ b/lab/src/main/java/hookweir/lab/scale/EventQueue.java
@@ -4,16 +4,16 @@
 
 /** One virtual clock, in µs, and what is due by it; events of one instant run in the order in which they were added. */
 final class EventQueue {
-    private record Due(long atUs, long order, Runnable task) implements Comparable<Due> {
+    private record Event(long atUs, long sequence, Runnable task) implements Comparable<Event> {
         @Override
-        public int compareTo(Due other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
+        public int compareTo(Event other) {
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowUs;
-    private long order;
+    private long nextSequence;
 
     /** The time. */
     long nowUs() {
@@ -21,14 +21,14 @@
     }
 
     /** Runs the task so much later. */
-    void after(long delayUs, Runnable task) {
-        due.add(new Due(nowUs + Math.max(0, delayUs), order++, task));
+    void schedule(long delayUs, Runnable task) {
+        events.add(new Event(nowUs + Math.max(0, delayUs), nextSequence++, task));
     }
 
     /** Runs all that is due by then. */
     void runUntil(long endUs) {
-        while (!due.isEmpty() && due.peek().atUs <= endUs) {
-            Due next = due.poll();
+        while (!events.isEmpty() && events.peek().atUs <= endUs) {
+            Event next = events.poll();
             nowUs = next.atUs;
             next.task.run();
         }
--- a/lab/src/main/java/hookweir/lab/scale/HttpText.java
+++ b/lab/src/main/java/hookweir/lab/scale/HttpMessages.java
@@ -1,9 +1,9 @@
 package hookweir.lab.scale;
 
 /** HTTP messages as a scheduler, a worker and a list service write them; the lengths of these are what is counted. */
-final class HttpText {
+final class HttpMessages {
     /** Bytes of a job's body and of a result: assumed. */
-    static final int BODY_BYTES = 212;
+    static final int JOB_BODY_BYTES = 212;
     static final int RESULT_BYTES = 200;
     static final String NO_CONTENT = "HTTP/1.1 204 No Content\r\n\r\n";
     static final String NOT_MODIFIED = "HTTP/1.1 304 Not Modified\r\nETag: \"0000000000000000\"\r\n\r\n";
@@ -11,45 +11,45 @@
     static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\n" + EMPTY_BODY;
     static final String DECLINED = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\n" + EMPTY_BODY;
     static final String DELETED = "HTTP/1.1 200 OK\r\n" + EMPTY_BODY;
-    private static final String ID = "9b1f03aa5c7e2d41";
+    private static final String REQUEST_ID = "9b1f03aa5c7e2d41";
 
-    private HttpText() {
+    private HttpMessages() {
     }
 
-    static String probe(String host) {
+    static String probeRequest(String host) {
         return "GET /load HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
     }
 
-    static String report(int free) {
-        return ok("x0=" + free);
+    static String probeResponse(int freeSlots) {
+        return okResponse("x0=" + freeSlots);
     }
 
-    static int job(String host, long leftMs) {
-        String head = "POST /api HTTP/1.1\r\nHost: " + host + "\r\nReq-Id: " + ID + "\r\nReq-Kind: task\r\nReq-Deadline-Ms: " + leftMs
-            + "\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
-        return head.length() + BODY_BYTES;
+    static int jobRequestBytes(String host, long remainingMs) {
+        String head = "POST /api HTTP/1.1\r\nHost: " + host + "\r\nReq-Id: " + REQUEST_ID + "\r\nReq-Kind: task\r\nReq-Deadline-Ms: " + remainingMs
+            + "\r\nContent-Length: " + JOB_BODY_BYTES + "\r\n\r\n";
+        return head.length() + JOB_BODY_BYTES;
     }
 
-    static String cancel(String host) {
-        return "DELETE /jobs/" + ID + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
+    static String cancelRequest(String host) {
+        return "DELETE /jobs/" + REQUEST_ID + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
     }
 
-    static int callBack(String scheduler, String worker) {
-        int body = ("{\"id\":\"" + ID + "\",\"from\":\"" + worker + "\",\"state\":\"done\",\"result\":\"\"}").length() + RESULT_BYTES;
+    static int callbackRequestBytes(String scheduler, String worker) {
+        int body = ("{\"id\":\"" + REQUEST_ID + "\",\"from\":\"" + worker + "\",\"state\":\"done\",\"result\":\"\"}").length() + RESULT_BYTES;
         String head = "POST /callback HTTP/1.1\r\nHost: " + scheduler + "\r\nContent-Type: application/json\r\nContent-Length: " + body
             + "\r\n\r\n";
         return head.length() + body;
     }
 
-    static int result() {
-        return ok("").length() + 2 + RESULT_BYTES;
+    static int resultResponseBytes() {
+        return okResponse("").length() + 2 + RESULT_BYTES;
     }
 
-    static String refusal() {
+    static String rejectionResponse() {
         return "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.000\r\n\r\n";
     }
 
-    static String ok(String body) {
+    static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -57,7 +57,7 @@
         return "GET /v1/servers" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
     }
 
-    static String watchHead() {
+    static String watchResponseHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** A scheduler's settings with so many teams, as its configuration file has them. */
-    static String configuration(int teams) {
+    static String configurationFile(int teams) {
         StringBuilder text = new StringBuilder("{\"name\":\"n1\",\"listen\":\"10.0.0.1:8080\",\"discovery\":\"10.0.0.2:8080\",\"settings\":{\"classes\":["
             + "{\"name\":\"task\",\"aim_us\":25800000,\"deadline_us\":51600000,\"semantics\":\"read_like\",\"key_scope\":\"all\"},"
             + "{\"name\":\"accelerator\",\"aim_us\":25800000,\"deadline_us\":51600000,\"semantics\":\"read_like\",\"key_scope\":\"all\"}],"
--- a/lab/src/main/java/hookweir/lab/scale/Slope.java
+++ b/lab/src/main/java/hookweir/lab/scale/LinearFit.java
@@ -17,9 +17,9 @@
  * @param predicted at the target
  * @param measured at the target
  */
-record Slope(String cost, String against, double[] x, double[] y, double target, double intercept, double slope, double slopeError, double rSquare,
+record LinearFit(String cost, String against, double[] x, double[] y, double target, double intercept, double slope, double slopeError, double rSquare,
         double[] residuals, double predicted, double measured) {
-    static Slope of(String cost, String against, double target, List<Row> rows, ToDoubleFunction<Row> size, ToDoubleFunction<Row> value) {
+    static LinearFit of(String cost, String against, double target, List<Row> rows, ToDoubleFunction<Row> size, ToDoubleFunction<Row> value) {
         SimpleRegression fit = new SimpleRegression();
         double measured = Double.NaN;
         for (Row row : rows) {
@@ -35,12 +35,12 @@
         for (int i = 0; i < x.length; i++) {
             residuals[i] = y[i] - fit.predict(x[i]);
         }
-        return new Slope(cost, against, x, y, target, fit.getIntercept(), fit.getSlope(), fit.getSlopeStdErr(), fit.getRSquare(), residuals,
+        return new LinearFit(cost, against, x, y, target, fit.getIntercept(), fit.getSlope(), fit.getSlopeStdErr(), fit.getRSquare(), residuals,
             fit.predict(target), measured);
     }
 
     /** The fitted line. */
-    double at(double size) {
+    double valueAt(double size) {
         return intercept + slope * size;
     }
 }
--- a/lab/src/main/java/hookweir/lab/scale/Network.java
+++ b/lab/src/main/java/hookweir/lab/scale/Network.java
@@ -2,31 +2,31 @@
 
 /** How long messages take between zones, and which do not arrive. Times are assumed. */
 final class Network {
-    static final long ZONE_US = 250;
-    private static final long REGION_US = 500;
-    private static final long ABROAD_US = 15_000;
+    static final long SAME_ZONE_US = 250;
+    private static final long SAME_REGION_US = 500;
+    private static final long CROSS_REGION_US = 15_000;
 
-    private boolean cut;
+    private boolean setPartitioned;
 
     /** From one zone to another. */
     long oneWayUs(int from, int to) {
         if (from == to) {
-            return ZONE_US;
+            return SAME_ZONE_US;
         }
-        return region(from) == region(to) ? REGION_US : ABROAD_US;
+        return regionOf(from) == regionOf(to) ? SAME_REGION_US : CROSS_REGION_US;
     }
 
     /** Cuts the regions off from each other, or joins them again. */
-    void cut(boolean on) {
-        cut = on;
+    void setPartitioned(boolean on) {
+        setPartitioned = on;
     }
 
     /** What a scheduler of this zone sends to the worker arrives. */
-    boolean reaches(int fromZone, HollowWorker worker) {
-        return !worker.silent && !(cut && region(fromZone) != region(worker.zone));
+    boolean canReach(int fromZone, SimulatedWorker worker) {
+        return !worker.unresponsive && !(setPartitioned && regionOf(fromZone) != regionOf(worker.zone));
     }
 
-    static int region(int zone) {
-        return zone / (Shape.ZONES / Shape.REGIONS);
+    static int regionOf(int zone) {
+        return zone / (Shape.ZONE_COUNT / Shape.REGION_COUNT);
     }
 }
--- a/lab/src/main/java/hookweir/lab/scale/RealRun.java
+++ b/lab/src/main/java/hookweir/lab/scale/RealRun.java
@@ -11,11 +11,11 @@
 
 /** One real scheduler, started as operators start it, among stand-in workers: what hollow ones are held against. */
 final class RealRun {
-    private static final long LEAST_AIM_MS = 1000;
-    private static final int AIM = 3;
-    private static final int CLIENTS = 256;
-    private static final int DESCRIPTORS = 1024;
-    private static final String CLASS = "job";
+    private static final long MIN_SOFT_DEADLINE_MS = 1000;
+    private static final int SOFT_DEADLINE_FACTOR = 3;
+    private static final int CLIENT_COUNT = 256;
+    private static final int MAX_DESCRIPTORS = 1024;
+    private static final String REQUEST_CLASS = "job";
     private static final double PERCENT = 100;
 
     /** A span of the run. */
@@ -44,23 +44,23 @@
     }
 
     static void run(Path root, int workers, double rate, int serviceMs, Path out) throws IOException, InterruptedException {
-        long aimMs = Math.max(LEAST_AIM_MS, (long) AIM * serviceMs);
-        Clients.Plan plan = new Clients.Plan(CLIENTS, rate, HttpText.BODY_BYTES, 2 * aimMs, CLASS);
+        long softDeadlineMs = Math.max(MIN_SOFT_DEADLINE_MS, (long) SOFT_DEADLINE_FACTOR * serviceMs);
+        Clients.Plan plan = new Clients.Plan(CLIENT_COUNT, rate, HttpMessages.JOB_BODY_BYTES, 2 * softDeadlineMs, REQUEST_CLASS);
         List<RealRow> rows = new ArrayList<>();
-        Bench.Setting setting = new Bench.Setting(root.toString(), -1, workers, serviceMs, HttpText.RESULT_BYTES, aimMs, DESCRIPTORS, "pull", "", false,
+        Bench.Setting setting = new Bench.Setting(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS, "pull", "", false,
             null);
         try (Bench bench = new Bench(setting)) {
             Clients clients = bench.begin(plan);
             for (Span span : Span.values()) {
-                rows.add(row(bench, clients, plan, span, workers));
+                rows.add(measure(bench, clients, plan, span, workers));
                 System.out.println(rows.get(rows.size() - 1));
             }
             bench.end(clients);
         }
-        ScaleReport.json(out, String.format(Locale.ROOT, "real-%d-%.4g", workers, rate), rows);
+        ScaleReport.writeJson(out, String.format(Locale.ROOT, "real-%d-%.4g", workers, rate), rows);
     }
 
-    private static RealRow row(Bench bench, Clients clients, Clients.Plan plan, Span span, int workers) throws IOException, InterruptedException {
+    private static RealRow measure(Bench bench, Clients clients, Clients.Plan plan, Span span, int workers) throws IOException, InterruptedException {
         long connections = bench.fleet().connections();
         long bytes = bench.fleet().probeBytes();
         long probes = bench.fleet().probes();
--- a/lab/src/main/java/hookweir/lab/scale/Row.java
+++ b/lab/src/main/java/hookweir/lab/scale/Row.java
@@ -35,42 +35,42 @@
         double callBackConnectionsPerJob, double turnedAwayPerJob, double lostPerJob,
         double refusedPerJob, double failedPerJob, double unheardShare, double ageP50S, double ageP99S, double spread, double inForceP50S,
         double inForceMaxS, Map<String, Map<String, Traffic.Tally>> traffic) {
-    private static final double LIMIT_BYTES_PER_S = 4096;
+    private static final double MAX_CONTROL_BYTES_PER_S = 4096;
     /** Workers asked before an attempt, four at most, and a fifth as many by the clock; a few more where those asked had no room. */
-    private static final double PROBES_PER_JOB = 6;
+    private static final double MAX_PROBES_PER_JOB = 6;
     /** Each worker is asked once in 50 s at most while it is full, where jobs are few. */
-    private static final double TIMED_RATE = 0.02;
-    private static final double MOST_PERCENT = 100;
+    private static final double MAX_TIMED_PROBES_PER_WORKER_S = 0.02;
+    private static final double MAX_PERCENTILE = 100;
 
-    static Row of(World world, Traffic traffic, Peaks peaks) {
+    static Row of(Simulation world, Traffic traffic, PerSecondStats peaks) {
         Shape shape = world.shape;
-        Figures figures = world.figures;
+        SimulationMetrics figures = world.metrics;
         double jobs = Math.max(1, figures.jobs);
         double schedulerSeconds = (double) shape.seconds() * shape.schedulers();
-        Traffic.Tally whole = world.traffic.of(Role.SCHEDULER, MessageKind.WHOLE_LIST);
-        Traffic.Tally change = traffic.of(Role.SCHEDULER, MessageKind.LIST_CHANGE);
-        Traffic.Tally configuration = traffic.of(Role.SCHEDULER, MessageKind.CONFIGURATION);
-        long probeConnections = traffic.of(Role.SCHEDULER, MessageKind.PROBE_CONNECTION).messages();
-        long jobConnections = traffic.of(Role.SCHEDULER, MessageKind.JOB_CONNECTION).messages();
-        long lost = figures.ended(Outcome.TIMEOUT) + figures.ended(Outcome.RESET) + figures.ended(Outcome.CONNECT_FAILED);
-        return new Row("", shape, figures.jobs, peaks.running(), figures.probes / jobs, figures.probes / schedulerSeconds,
-            traffic.control(Role.SCHEDULER).bytes() / schedulerSeconds, peaks.control() / (double) shape.schedulers(), change.bytes() / schedulerSeconds,
-            configuration.bytes() / schedulerSeconds, all(traffic, Role.SCHEDULER) / schedulerSeconds,
-            traffic.control(Role.LIST_SERVICE).bytes() / (double) shape.seconds(), (double) peaks.list(),
+        Traffic.Tally whole = world.traffic.tally(Role.SCHEDULER, MessageKind.WHOLE_LIST);
+        Traffic.Tally change = traffic.tally(Role.SCHEDULER, MessageKind.LIST_CHANGE);
+        Traffic.Tally configuration = traffic.tally(Role.SCHEDULER, MessageKind.CONFIGURATION);
+        long probeConnections = traffic.tally(Role.SCHEDULER, MessageKind.PROBE_CONNECTION).messages();
+        long jobConnections = traffic.tally(Role.SCHEDULER, MessageKind.JOB_CONNECTION).messages();
+        long lost = figures.attemptsEndedWith(Outcome.TIMEOUT) + figures.attemptsEndedWith(Outcome.RESET) + figures.attemptsEndedWith(Outcome.CONNECT_FAILED);
+        return new Row("", shape, figures.jobs, peaks.meanRunningTasks(), figures.probes / jobs, figures.probes / schedulerSeconds,
+            traffic.controlTally(Role.SCHEDULER).bytes() / schedulerSeconds, peaks.peakControlBytes() / (double) shape.schedulers(), change.bytes() / schedulerSeconds,
+            configuration.bytes() / schedulerSeconds, totalBytes(traffic, Role.SCHEDULER) / schedulerSeconds,
+            traffic.controlTally(Role.LIST_SERVICE).bytes() / (double) shape.seconds(), (double) peaks.peakListServiceBytes(),
             figures.probes / (double) shape.seconds() / shape.workers(),
             whole.messages() == 0 ? 0 : whole.bytes() / (whole.messages() / 2.0), probeConnections / jobs, jobConnections / jobs,
-            traffic.of(Role.WORKER, MessageKind.CALL_BACK_CONNECTION).messages() / jobs, figures.ended(Outcome.FULL) / jobs, lost / jobs,
-            figures.refused / jobs, figures.failed / jobs, figures.unheard / (double) Math.max(1, figures.attempts),
-            figures.ageS.percentile(50), figures.ageS.percentile(99), spread(world), figures.inForceS.percentile(50),
-            figures.inForceS.percentile(MOST_PERCENT), traffic.table());
+            traffic.tally(Role.WORKER, MessageKind.CALL_BACK_CONNECTION).messages() / jobs, figures.attemptsEndedWith(Outcome.FULL) / jobs, lost / jobs,
+            figures.rejected / jobs, figures.failed / jobs, figures.attemptsWithoutLoadReport / (double) Math.max(1, figures.attempts),
+            figures.loadReportAgeS.percentile(50), figures.loadReportAgeS.percentile(99), spread(world), figures.activationDelayS.percentile(50),
+            figures.activationDelayS.percentile(MAX_PERCENTILE), traffic.toTable());
     }
 
-    private static double all(Traffic traffic, Role role) {
-        return Arrays.stream(MessageKind.values()).mapToLong(kind -> traffic.of(role, kind).bytes()).sum();
+    private static double totalBytes(Traffic traffic, Role role) {
+        return Arrays.stream(MessageKind.values()).mapToLong(kind -> traffic.tally(role, kind).bytes()).sum();
     }
 
-    private static double spread(World world) {
-        double[] perSlot = world.workers.stream().mapToDouble(worker -> (double) worker.tasks / worker.slots).toArray();
+    private static double spread(Simulation world) {
+        double[] perSlot = world.workers.stream().mapToDouble(worker -> (double) worker.startedTasks / worker.slots).toArray();
         double mean = Arrays.stream(perSlot).average().orElse(0);
         double variance = Arrays.stream(perSlot).map(x -> (x - mean) * (x - mean)).average().orElse(0);
         return mean == 0 ? 0 : Math.sqrt(variance) / mean;
@@ -79,15 +79,15 @@
     /**
      * What was seen second by second.
      *
-     * @param control bytes of all schedulers in the worst second
-     * @param list bytes of the list service in the worst second
-     * @param running tasks, mean
+     * @param peakControlBytes bytes of all schedulers in the worst second
+     * @param peakListServiceBytes bytes of the list service in the worst second
+     * @param meanRunningTasks tasks, mean
      */
-    record Peaks(long control, long list, double running) {
+    record PerSecondStats(long peakControlBytes, long peakListServiceBytes, double meanRunningTasks) {
     }
 
     /** With a name. */
-    Row named(String newName) {
+    Row withName(String newName) {
         return new Row(newName, shape, jobs, running, probesPerJob, probesPerS, controlBytesPerS, controlPeakBytesPerS, changeBytesPerS,
             configurationBytesPerS, schedulerBytesPerS, listBytesPerS, listPeakBytesPerS, probesPerWorkerS, wholeListBytes, probeConnectionsPerJob,
             jobConnectionsPerJob, callBackConnectionsPerJob,
@@ -100,25 +100,25 @@
     }
 
     /** Probes are bounded by the jobs that they serve and a rare timed one of each worker. */
-    boolean keepsProbes() {
-        double timedPerS = TIMED_RATE * shape.workers();
-        return probesPerS <= PROBES_PER_JOB * shape.jobsPerSecond() + timedPerS;
+    boolean withinProbeLimit() {
+        double timedPerS = MAX_TIMED_PROBES_PER_WORKER_S * shape.workers();
+        return probesPerS <= MAX_PROBES_PER_JOB * shape.jobsPerSecond() + timedPerS;
     }
 
     /** The bound on a scheduler's control traffic is kept. */
-    boolean keepsBytes() {
-        return controlBytesPerS <= LIMIT_BYTES_PER_S;
+    boolean withinControlTrafficLimit() {
+        return controlBytesPerS <= MAX_CONTROL_BYTES_PER_S;
     }
 
-    /** The columns of {@link #line}. */
-    static String header() {
+    /** The columns of {@link #tableLine}. */
+    static String tableHeader() {
         return String.format("%-24s %7s %6s %6s %7s %7s %8s %8s %9s", "run", "workers", "scheds", "jobs/s", "running", "probe/s", "ctl B/s", "ctl peak",
             "list B/s") + String.format(" %8s %8s %8s %8s %8s %8s %8s %8s %7s %7s", "prb-c/j", "job-c/j", "cb-c/j", "full/job", "lost/job", "ref/job",
             "age p50", "age p99", "unheard", "spread");
     }
 
     /** One line of the table. */
-    String line() {
+    String tableLine() {
         return String.format(Locale.ROOT, "%-24s %7d %6d %6.2f %7.0f %7.2f %8.0f %8.0f %9.0f", name, shape.workers(), shape.schedulers(),
             shape.jobsPerSecond(), running, probesPerS, controlBytesPerS, controlPeakBytesPerS, listBytesPerS)
             + String.format(Locale.ROOT, " %8.3f %8.3f %8.3f %8.4f %8.4f %8.4f %7.2fs %7.2fs %7.3f %7.3f", probeConnectionsPerJob, jobConnectionsPerJob,
--- a/lab/src/main/java/hookweir/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/hookweir/lab/scale/ScaleCommand.java
@@ -9,7 +9,7 @@
 
 /** The lab's scale: hollow workers and schedulers in simulated time, and what their messages come to. */
 public final class ScaleCommand extends Main.Command {
-    private static final int BAD_VALUE = 2;
+    private static final int EXIT_BAD_VALUE = 2;
 
     @Option(name = "--workers", usage = "hollow workers, 1 to 20000")
     private int workers = Shape.target().workers();
@@ -51,30 +51,30 @@
 
     @Override
     protected int run() throws IOException, InterruptedException {
-        String fault = fault();
+        String fault = validationErrors();
         if (fault != null) {
             System.err.println("hookweir-lab: " + fault);
-            return BAD_VALUE;
+            return EXIT_BAD_VALUE;
         }
         if (real) {
             RealRun.run(root, workers, rate, (int) serviceMs, out);
             return 0;
         }
-        System.out.println(Row.header());
+        System.out.println(Row.tableHeader());
         if (sweep) {
-            Sweep.run(out, seed);
+            ParameterSweep.run(out, seed);
             return 0;
         }
         Shape target = Shape.target();
-        Shape shape = target.sized(workers, schedulers, rate).loaded(serviceMs, full).changing(restarts, changes)
-            .lasting(target.warmUpSeconds(), seconds).with(failure).with(mechanism).seeded(seed);
-        Row row = new World(shape).run().named(failure.name().toLowerCase(java.util.Locale.ROOT));
-        System.out.println(row.line());
-        ScaleReport.json(out, "run", List.of(row));
+        Shape shape = target.withSize(workers, schedulers, rate).withLoad(serviceMs, full).withChangeRates(restarts, changes)
+            .withDuration(target.warmUpSeconds(), seconds).with(failure).with(mechanism).withSeed(seed);
+        Row row = new Simulation(shape).run().withName(failure.name().toLowerCase(java.util.Locale.ROOT));
+        System.out.println(row.tableLine());
+        ScaleReport.writeJson(out, "run", List.of(row));
         return 0;
     }
 
-    private String fault() {
+    private String validationErrors() {
         List<String> faults = new ArrayList<>();
         check(faults, workers >= 1 && workers <= 20_000, "--workers must be 1 to 20000, not " + workers);
         check(faults, schedulers >= 1 && schedulers <= 1000, "--schedulers must be 1 to 1000, not " + schedulers);
--- a/lab/src/main/java/hookweir/lab/scale/ScaleReport.java
+++ b/lab/src/main/java/hookweir/lab/scale/ScaleReport.java
@@ -23,22 +23,22 @@
     }
 
     /** Writes NAME.json. */
-    static void json(Path folder, String name, Object rows) throws IOException {
+    static void writeJson(Path folder, String name, Object rows) throws IOException {
         Files.createDirectories(folder);
         new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(folder.resolve(name + ".json").toFile(), rows);
     }
 
     /** Writes NAME.png: what was measured, and the fitted lines. */
-    static void chart(Path folder, String name, String title, String xTitle, String yTitle, List<Slope> slopes) throws IOException {
+    static void writeChart(Path folder, String name, String title, String xTitle, String yTitle, List<LinearFit> slopes) throws IOException {
         Files.createDirectories(folder);
         XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(xTitle).yAxisTitle(yTitle).build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS);
         chart.getStyler().setYAxisMin(0.0);
-        for (Slope slope : slopes) {
+        for (LinearFit slope : slopes) {
             double[] x = slope.x();
             chart.addSeries(slope.cost(), x, slope.y());
             double[] ends = {Arrays.stream(x).min().orElse(0), Arrays.stream(x).max().orElse(0)};
-            chart.addSeries(slope.cost() + ", fitted below the target", ends, Arrays.stream(ends).map(slope::at).toArray())
+            chart.addSeries(slope.cost() + ", fitted below the target", ends, Arrays.stream(ends).map(slope::valueAt).toArray())
                 .setMarker(SeriesMarkers.NONE).setLineStyle(SeriesLines.DASH_DASH);
         }
         BitmapEncoder.saveBitmap(chart, folder.resolve(name + ".png").toString(), BitmapEncoder.BitmapFormat.PNG);
--- a/lab/src/main/java/hookweir/lab/scale/Shape.java
+++ b/lab/src/main/java/hookweir/lab/scale/Shape.java
@@ -19,15 +19,15 @@
 record Shape(int workers, int schedulers, double jobsPerSecond, long serviceMs, double fullShare, double restartsPerHour,
         double changesPerHour, long pollMs, int warmUpSeconds, int seconds, Failure failure, Mechanism mechanism, long seed) {
     /** Zones, half of them in each region. */
-    static final int ZONES = 6;
-    static final int REGIONS = 2;
+    static final int ZONE_COUNT = 6;
+    static final int REGION_COUNT = 2;
     /** Workers on one switch. */
-    static final int RACK = 24;
+    static final int WORKERS_PER_RACK = 24;
     /** Teams in the configuration. */
-    static final int TEAMS = 39;
+    static final int TEAM_COUNT = 39;
     /** Share of the tasks that need an accelerator. */
     static final double ACCELERATOR_SHARE = 0.2;
-    private static final double HOURS_A_DAY = 24;
+    private static final double HOURS_PER_DAY = 24;
     /** Each scheduler asks each worker for the first time 37 to 62 s after its start, and idle ones 200 s apart from then on. */
     private static final int WARM_UP_S = 200;
 
@@ -54,29 +54,29 @@
 
     /** The target: 1,100 workers, 440 starts a second, about 3,800 tasks running. */
     static Shape target() {
-        return new Shape(1100, 100, 4.4, 8600, 0, 147 / HOURS_A_DAY, 3700 / HOURS_A_DAY, 10_000, WARM_UP_S, 200, Failure.NONE, Mechanism.AS_DECIDED, 1);
+        return new Shape(1100, 100, 4.4, 8600, 0, 147 / HOURS_PER_DAY, 3700 / HOURS_PER_DAY, 10_000, WARM_UP_S, 200, Failure.NONE, Mechanism.AS_DECIDED, 1);
     }
 
     /** So many workers, schedulers and jobs a second for each. */
-    Shape sized(int newWorkers, int newSchedulers, double newJobsPerSecond) {
+    Shape withSize(int newWorkers, int newSchedulers, double newJobsPerSecond) {
         return new Shape(newWorkers, newSchedulers, newJobsPerSecond, serviceMs, fullShare, restartsPerHour, changesPerHour, pollMs, warmUpSeconds,
             seconds, failure, mechanism, seed);
     }
 
     /** Tasks of this length, and this share of workers full of others' work. */
-    Shape loaded(long newServiceMs, double newFullShare) {
+    Shape withLoad(long newServiceMs, double newFullShare) {
         return new Shape(workers, schedulers, jobsPerSecond, newServiceMs, newFullShare, restartsPerHour, changesPerHour, pollMs, warmUpSeconds,
             seconds, failure, mechanism, seed);
     }
 
     /** With this many worker restarts and configuration changes an hour. */
-    Shape changing(double newRestartsPerHour, double newChangesPerHour) {
+    Shape withChangeRates(double newRestartsPerHour, double newChangesPerHour) {
         return new Shape(workers, schedulers, jobsPerSecond, serviceMs, fullShare, newRestartsPerHour, newChangesPerHour, pollMs, warmUpSeconds,
             seconds, failure, mechanism, seed);
     }
 
     /** Over this span. */
-    Shape lasting(int newWarmUpSeconds, int newSeconds) {
+    Shape withDuration(int newWarmUpSeconds, int newSeconds) {
         return new Shape(workers, schedulers, jobsPerSecond, serviceMs, fullShare, restartsPerHour, changesPerHour, pollMs, newWarmUpSeconds,
             newSeconds, failure, mechanism, seed);
     }
@@ -94,7 +94,7 @@
     }
 
     /** With this seed. */
-    Shape seeded(long newSeed) {
+    Shape withSeed(long newSeed) {
         return new Shape(workers, schedulers, jobsPerSecond, serviceMs, fullShare, restartsPerHour, changesPerHour, pollMs, warmUpSeconds,
             seconds, failure, mechanism, newSeed);
     }
--- a/lab/src/main/java/hookweir/lab/scale/Traffic.java
+++ b/lab/src/main/java/hookweir/lab/scale/Traffic.java
@@ -35,20 +35,20 @@
     }
 
     /** A request and its answer, which follows at once. */
-    void call(Role from, Role to, MessageKind kind, int requestBytes, int answerBytes) {
-        int out = WireSize.data(requestBytes) + WireSize.acknowledgements(answerBytes, false);
-        int back = WireSize.data(answerBytes) + WireSize.acknowledgements(requestBytes, true);
+    void recordCall(Role from, Role to, MessageKind kind, int requestBytes, int answerBytes) {
+        int out = WireSize.dataBytes(requestBytes) + WireSize.acknowledgementBytes(answerBytes, false);
+        int back = WireSize.dataBytes(answerBytes) + WireSize.acknowledgementBytes(requestBytes, true);
         count(from, to, kind, 2, out, back);
     }
 
     /** A message that no answer follows at once. */
-    void message(Role from, Role to, MessageKind kind, int bytes) {
-        count(from, to, kind, 1, WireSize.data(bytes), WireSize.acknowledgements(bytes, false));
+    void recordMessage(Role from, Role to, MessageKind kind, int bytes) {
+        count(from, to, kind, 1, WireSize.dataBytes(bytes), WireSize.acknowledgementBytes(bytes, false));
     }
 
     /** A connection, from its first segment to its last. */
-    void connection(Role from, Role to, MessageKind kind) {
-        count(from, to, kind, 1, WireSize.OPENER, WireSize.ACCEPTOR);
+    void recordConnection(Role from, Role to, MessageKind kind) {
+        count(from, to, kind, 1, WireSize.INITIATOR_OVERHEAD_BYTES, WireSize.ACCEPTOR_OVERHEAD_BYTES);
     }
 
     private void count(Role from, Role to, MessageKind kind, int messages, int out, int back) {
@@ -57,19 +57,19 @@
     }
 
     private void add(Role role, MessageKind kind, Tally tally) {
-        tallies[role.ordinal()][kind.ordinal()] = of(role, kind).plus(tally);
+        tallies[role.ordinal()][kind.ordinal()] = tally(role, kind).plus(tally);
     }
 
     /** What was counted of it. */
-    Tally of(Role role, MessageKind kind) {
+    Tally tally(Role role, MessageKind kind) {
         return tallies[role.ordinal()][kind.ordinal()];
     }
 
     /** Control traffic of a role. */
-    Tally control(Role role) {
+    Tally controlTally(Role role) {
         Tally sum = Tally.NONE;
         for (MessageKind kind : MessageKind.values()) {
-            sum = kind.isControl ? sum.plus(of(role, kind)) : sum;
+            sum = kind.isControl ? sum.plus(tally(role, kind)) : sum;
         }
         return sum;
     }
@@ -79,7 +79,7 @@
         Traffic difference = new Traffic();
         for (Role role : Role.values()) {
             for (MessageKind kind : MessageKind.values()) {
-                difference.tallies[role.ordinal()][kind.ordinal()] = of(role, kind).minus(earlier.of(role, kind));
+                difference.tallies[role.ordinal()][kind.ordinal()] = tally(role, kind).minus(earlier.tally(role, kind));
             }
         }
         return difference;
@@ -91,13 +91,13 @@
     }
 
     /** Role, then kind, without those of which nothing was seen. */
-    Map<String, Map<String, Tally>> table() {
+    Map<String, Map<String, Tally>> toTable() {
         Map<String, Map<String, Tally>> table = new LinkedHashMap<>();
         for (Role role : Role.values()) {
             Map<String, Tally> kinds = new LinkedHashMap<>();
             for (MessageKind kind : MessageKind.values()) {
-                if (of(role, kind).messages > 0) {
-                    kinds.put(kind.name().toLowerCase(java.util.Locale.ROOT), of(role, kind));
+                if (tally(role, kind).messages > 0) {
+                    kinds.put(kind.name().toLowerCase(java.util.Locale.ROOT), tally(role, kind));
                 }
             }
             table.put(role.name().toLowerCase(java.util.Locale.ROOT), kinds);
--- a/lab/src/main/java/hookweir/lab/scale/WireSize.java
+++ b/lab/src/main/java/hookweir/lab/scale/WireSize.java
@@ -7,31 +7,31 @@
  */
 final class WireSize {
     /** IPv4 (20), TCP (20) and the timestamp option (12). */
-    static final int HEADERS = 52;
+    static final int SEGMENT_HEADER_BYTES = 52;
     /** As HEADERS, with the further options of a connection's first two segments. */
-    static final int SYN = 60;
+    static final int SYN_SEGMENT_BYTES = 60;
     /** Payload of a full segment on links of 1,500 bytes. */
-    static final int SEGMENT = 1448;
+    static final int MAX_SEGMENT_PAYLOAD_BYTES = 1448;
     /** The opener's segments over a connection's life, besides data: SYN, ACK, FIN, ACK. */
-    static final int OPENER = SYN + 3 * HEADERS;
+    static final int INITIATOR_OVERHEAD_BYTES = SYN_SEGMENT_BYTES + 3 * SEGMENT_HEADER_BYTES;
     /** The other side's: SYN-ACK, ACK, FIN. */
-    static final int ACCEPTOR = SYN + 2 * HEADERS;
+    static final int ACCEPTOR_OVERHEAD_BYTES = SYN_SEGMENT_BYTES + 2 * SEGMENT_HEADER_BYTES;
 
     private WireSize() {
     }
 
     /** A message of so many bytes of HTTP with the headers of its segments. */
-    static int data(int httpBytes) {
-        return httpBytes + HEADERS * segments(httpBytes);
+    static int dataBytes(int httpBytes) {
+        return httpBytes + SEGMENT_HEADER_BYTES * segmentCount(httpBytes);
     }
 
     /** The receiver's acknowledgements of such a message. */
-    static int acknowledgements(int httpBytes, boolean answered) {
-        int segments = segments(httpBytes);
-        return HEADERS * (answered ? segments / 2 : (segments + 1) / 2);
+    static int acknowledgementBytes(int httpBytes, boolean responseFollows) {
+        int segments = segmentCount(httpBytes);
+        return SEGMENT_HEADER_BYTES * (responseFollows ? segments / 2 : (segments + 1) / 2);
     }
 
-    private static int segments(int httpBytes) {
-        return (httpBytes + SEGMENT - 1) / SEGMENT;
+    private static int segmentCount(int httpBytes) {
+        return (httpBytes + MAX_SEGMENT_PAYLOAD_BYTES - 1) / MAX_SEGMENT_PAYLOAD_BYTES;
     }
 }
--- a/lab/src/test/java/hookweir/lab/scale/SlopeTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/LinearFitTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Slopes are fitted below the target alone. */
-class SlopeTest {
+class LinearFitTest {
     @Test
-    void theTargetAndWhatIsBeyondItDoNotTakePartInTheFit() {
+    void fitsOnlyTheSizesBelowTheTarget() {
         List<Row> rows = Stream.of(5, 10, 20, 40).map(workers ->
-            new World(Shape.target().sized(workers, 1, 1).changing(0, 0).lasting(1, 3)).run()).toList();
-        Slope slope = Slope.of("cost", "workers", 20, rows, row -> row.shape().workers(),
+            new Simulation(Shape.target().withSize(workers, 1, 1).withChangeRates(0, 0).withDuration(1, 3)).run()).toList();
+        LinearFit slope = LinearFit.of("cost", "workers", 20, rows, row -> row.shape().workers(),
             row -> row.shape().workers() < 20 ? 3 + 2 * row.shape().workers() : 100);
         assertEquals(2, slope.slope(), 1e-9);
         assertEquals(3, slope.intercept(), 1e-9);
--- a/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
@@ -16,22 +16,22 @@
 class ScaleCommandTest {
     @ParameterizedTest
     @CsvSource({"--workers,0", "--schedulers,1001", "--rate,0", "--rate,NaN", "--service-ms,0", "--full,1", "--restarts,-1", "--changes,-1", "--seconds,2"})
-    void aBadValueIsNamedAndEndsWith2(String option, String value) throws Exception {
+    void reportsABadValueAndExitsWith2(String option, String value) throws Exception {
         ScaleCommand command = new ScaleCommand();
         new CmdLineParser(command).parseArgument(option, value);
-        PrintStream before = System.err;
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(told, true, StandardCharsets.UTF_8));
+        PrintStream previousErr = System.err;
+        ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
+        System.setErr(new PrintStream(errorOutput, true, StandardCharsets.UTF_8));
         try {
             assertEquals(2, command.run());
         } finally {
-            System.setErr(before);
+            System.setErr(previousErr);
         }
-        assertTrue(told.toString(StandardCharsets.UTF_8).contains(option), told.toString(StandardCharsets.UTF_8));
+        assertTrue(errorOutput.toString(StandardCharsets.UTF_8).contains(option), errorOutput.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void theHelpHasAnExample() throws CmdLineException {
+    void helpHasAnExample() throws CmdLineException {
         assertTrue(new ScaleCommand().what().contains("example: java -jar lab/target/hookweir-lab.jar scale --workers"));
     }
 }
