--- a/lab/src/main/java/hookweir/lab/scale/ConfigurationSource.java
+++ b/lab/src/main/java/hookweir/lab/scale/ConfigurationSource.java
@@ -5,14 +5,14 @@
 import java.util.Random;
 
 /**
- * Configuration changes, and machines that poll for them. Today operators copy files and send SIGHUP; that each machine polls and
- * gets the whole file is assumed here, as the plainest thing that could be done.
+ * Simulates configuration changes and the machines that poll for them. Polling is an assumption of the simulation: operators copy
+ * the files and send SIGHUP. Polling for the whole file is the simplest way to distribute it.
  */
 final class ConfigurationSource {
     private static final String HOST = "10.0.0.3:8080";
     private static final double HOUR_US = 3_600e6;
 
-    /** A machine that polls. */
+    /** A machine that polls the configuration. */
     private static final class Poller {
         private int receivedChanges;
         private boolean stopped;
@@ -27,11 +27,11 @@
     private final List<Long> changeTimesUs = new ArrayList<>();
     private final Samples activationDelayS;
 
-    ConfigurationSource(EventQueue queue, Traffic traffic, Random random, Shape shape, Samples inForceS) {
+    ConfigurationSource(EventQueue queue, Traffic traffic, Random random, Shape shape, Samples activationDelayS) {
         this.queue = queue;
         this.traffic = traffic;
         this.random = random;
-        this.activationDelayS = inForceS;
+        this.activationDelayS = activationDelayS;
         pollUs = shape.pollMs() * 1000;
         changesPerHour = shape.changesPerHour();
         if (changesPerHour > 0) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * A machine begins to poll.
+     * Starts polling from one machine.
      *
-     * @param onChange runs when a change came
-     * @return ends it
+     * @param onChange runs when a poll returned a changed configuration
+     * @return a task that stops polling
      */
     Runnable startPolling(Runnable onChange) {
         Poller poller = new Poller();
--- a/lab/src/main/java/hookweir/lab/scale/ConnectionPool.java
+++ b/lab/src/main/java/hookweir/lab/scale/ConnectionPool.java
@@ -10,20 +10,22 @@
 import java.util.function.IntSupplier;
 
 /**
- * A scheduler's connections to workers, kept as the real one kept them before it used some without rest: the newest idle one is used
- * first, one that carried a job rests before its next call, idle ones end after a while, and no worker keeps more than a few.
+ * A scheduler's pool of connections to workers. The most recently used idle connection is reused first. A connection that carried a
+ * job is not reused until a delay has passed. Idle connections are closed after a timeout, and the number of idle connections to each
+ * worker is limited. The real scheduler also reuses some connections without the delay; that is not simulated.
  */
 final class ConnectionPool {
-    /** A worker's machine closes idle connections after 10 s; the scheduler does so at nine tenths of it. */
+    /** A worker closes idle connections after 10 s, so the scheduler closes them after nine tenths of that. */
     private static final long IDLE_TIMEOUT_US = 9_000_000;
     private static final long SWEEP_INTERVAL_US = 500_000;
     private static final int MIN_IDLE_LIMIT_PER_WORKER = 8;
+    /** With this many delayed connections to a worker, the one whose delay ends first is reused at once. */
     private static final int MAX_DELAYED_CONNECTIONS = 4;
-    /** How long a link rests after an answer to a job. */
+    /** Delay before a connection is reused after the response to a job, so that a duplicate response is not taken for the next one. */
     static final long REUSE_DELAY_US = 30_000;
     static final long CONNECT_TIMEOUT_US = 250_000;
 
-    /** One connection. */
+    /** A connection to one worker process. */
     static final class Connection {
         private final SimulatedWorker worker;
         private final int incarnation;
@@ -36,7 +38,7 @@
             incarnation = worker.incarnation;
         }
 
-        /** The process at its other end is gone. */
+        /** Returns whether the worker process at the other end has been replaced. */
         boolean isBroken() {
             return incarnation != worker.incarnation;
         }
@@ -53,7 +55,8 @@
     private int openCount;
     private boolean closed;
 
-    ConnectionPool(EventQueue queue, Network network, Traffic traffic, int zone, ResourceBudget resourceBudget, IntSupplier acceptedConnections, IntSupplier listedWorkers) {
+    ConnectionPool(EventQueue queue, Network network, Traffic traffic, int zone, ResourceBudget resourceBudget, IntSupplier acceptedConnections,
+            IntSupplier listedWorkers) {
         this.queue = queue;
         this.network = network;
         this.traffic = traffic;
@@ -65,10 +68,10 @@
     }
 
     /**
-     * Gets a link.
+     * Gets a connection: an idle one if possible, otherwise a new one.
      *
-     * @param kind of the connection, where a new one is needed
-     * @param onReady gets the link, or null where none came up
+     * @param kind message kind under which a new connection is counted
+     * @param onReady receives the connection, or null if none could be opened
      */
     void acquire(SimulatedWorker worker, MessageKind kind, Consumer<Connection> onReady) {
         Deque<Connection> connections = idleConnections.computeIfAbsent(worker.id, id -> new ArrayDeque<>());
@@ -126,7 +129,7 @@
         return false;
     }
 
-    /** Takes a link back. */
+    /** Returns a connection to the pool; it is not reused before the delay has passed. */
     void release(Connection connection, long reuseDelayUs) {
         Deque<Connection> connections = idleConnections.get(connection.worker.id);
         if (connection.isBroken() || connections == null) {
@@ -142,7 +145,7 @@
         }
     }
 
-    /** A link that carries nothing any more. */
+    /** Closes a connection that cannot be reused. */
     void discard(Connection connection) {
         openCount--;
     }
@@ -164,13 +167,13 @@
         }
     }
 
-    /** Its process ended. */
+    /** Closes the pool because the scheduler process ended. */
     void close() {
         closed = true;
         idleConnections.clear();
     }
 
-    /** Links that are open now. */
+    /** Returns the number of open connections. */
     int openCount() {
         return openCount;
     }
--- a/lab/src/main/java/hookweir/lab/scale/EventQueue.java
+++ b/lab/src/main/java/hookweir/lab/scale/EventQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** One virtual clock, in µs, and what is due by it; events of one instant run in the order in which they were added. */
+/** A virtual clock in µs with a queue of scheduled tasks. Tasks for the same time run in the order in which they were added. */
 final class EventQueue {
     private record Event(long atUs, long sequence, Runnable task) implements Comparable<Event> {
         @Override
@@ -15,17 +15,17 @@
     private long nowUs;
     private long nextSequence;
 
-    /** The time. */
+    /** Returns the current virtual time. */
     long nowUs() {
         return nowUs;
     }
 
-    /** Runs the task so much later. */
+    /** Schedules a task to run after this delay. */
     void schedule(long delayUs, Runnable task) {
         events.add(new Event(nowUs + Math.max(0, delayUs), nextSequence++, task));
     }
 
-    /** Runs all that is due by then. */
+    /** Runs all tasks that are due by this time, and advances the clock to it. */
     void runUntil(long endUs) {
         while (!events.isEmpty() && events.peek().atUs <= endUs) {
             Event next = events.poll();
--- a/lab/src/main/java/hookweir/lab/scale/HttpMessages.java
+++ b/lab/src/main/java/hookweir/lab/scale/HttpMessages.java
@@ -1,9 +1,10 @@
 package hookweir.lab.scale;
 
-/** HTTP messages as a scheduler, a worker and a list service write them; the lengths of these are what is counted. */
+/** HTTP messages as schedulers, workers and the list service write them. The simulation counts their lengths. */
 final class HttpMessages {
-    /** Bytes of a job's body and of a result: assumed. */
+    /** Size of the body of a job request. */
     static final int JOB_BODY_BYTES = 212;
+    /** Size of the result of a job. */
     static final int RESULT_BYTES = 200;
     static final String NO_CONTENT = "HTTP/1.1 204 No Content\r\n\r\n";
     static final String NOT_MODIFIED = "HTTP/1.1 304 Not Modified\r\nETag: \"0000000000000000\"\r\n\r\n";
@@ -69,7 +70,7 @@
         return "GET /v1/configuration HTTP/1.1\r\nHost: " + host + "\r\nIf-None-Match: \"0000000000000000\"\r\n\r\n";
     }
 
-    /** A scheduler's settings with so many teams, as its configuration file has them. */
+    /** Returns a scheduler's configuration file with this many teams. */
     static String configurationFile(int teams) {
         StringBuilder text = new StringBuilder("{\"name\":\"n1\",\"listen\":\"10.0.0.1:8080\",\"discovery\":\"10.0.0.2:8080\",\"settings\":{\"classes\":["
             + "{\"name\":\"task\",\"aim_us\":25800000,\"deadline_us\":51600000,\"semantics\":\"read_like\",\"key_scope\":\"all\"},"
--- a/lab/src/main/java/hookweir/lab/scale/LinearFit.java
+++ b/lab/src/main/java/hookweir/lab/scale/LinearFit.java
@@ -5,17 +5,18 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A cost against a size, fitted by least squares to the sizes below the target and held against what was measured there.
+ * A least-squares fit of a cost as a linear function of a size. Only sizes below the target are fitted, so that the value that the
+ * line predicts for the target can be compared with the value measured there.
  *
- * @param cost what is fitted
- * @param against the size
- * @param x sizes, ascending
- * @param y costs there
- * @param target the size that is predicted
- * @param rSquare of the fit
- * @param residuals measured less fitted, at each size, those from the target on included
- * @param predicted at the target
- * @param measured at the target
+ * @param cost name of the fitted cost
+ * @param against name of the size
+ * @param x the sizes, ascending
+ * @param y the cost measured at each size
+ * @param target the size for which the cost is predicted
+ * @param rSquare coefficient of determination of the fit
+ * @param residuals measured minus fitted cost at each size, including the target and the sizes above it
+ * @param predicted fitted cost at the target
+ * @param measured measured cost at the target, NaN if the target is not among the sizes
  */
 record LinearFit(String cost, String against, double[] x, double[] y, double target, double intercept, double slope, double slopeError, double rSquare,
         double[] residuals, double predicted, double measured) {
@@ -39,7 +40,7 @@
             fit.predict(target), measured);
     }
 
-    /** The fitted line. */
+    /** Returns the fitted cost at this size. */
     double valueAt(double size) {
         return intercept + slope * size;
     }
--- a/lab/src/main/java/hookweir/lab/scale/ListService.java
+++ b/lab/src/main/java/hookweir/lab/scale/ListService.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The list of workers, its watches, and what they cost: whole lists at a start, then a line for each change. */
+/** The simulated list service. A watcher gets the whole worker list first and then one line for each change; all bytes are counted. */
 final class ListService {
     private static final long HEARTBEAT_INTERVAL_US = 2_000_000;
     private static final String HOST = "10.0.0.2:8080";
     private static final String EMPTY_LINE = "\n";
 
-    /** Who watches. */
+    /** A client that watches the worker list. */
     interface Watcher {
-        /** The whole list, or what changed. */
+        /** Receives the whole worker list, or only the changed entries if {@code delta}. */
         void onWorkerList(boolean delta, List<Contract.Worker> entries);
     }
 
@@ -29,12 +29,12 @@
         queue.schedule(HEARTBEAT_INTERVAL_US, this::sendHeartbeats);
     }
 
-    /** A start: the whole list on a connection of its own, then a watch from that version on. */
+    /** Fetches the whole list on a separate connection, then starts a watch from its version on. */
     void startWatch(Watcher watcher) {
         traffic.recordConnection(Role.SCHEDULER, Role.LIST_SERVICE, MessageKind.LIST_CONNECTION);
         queue.schedule(4 * Network.SAME_ZONE_US, () -> {
-            String whole = HttpMessages.okResponse(listJson(true, workers));
-            traffic.recordCall(Role.SCHEDULER, Role.LIST_SERVICE, MessageKind.WHOLE_LIST, HttpMessages.listRequest(HOST, "").length(), whole.length());
+            String response = HttpMessages.okResponse(listJson(true, workers));
+            traffic.recordCall(Role.SCHEDULER, Role.LIST_SERVICE, MessageKind.WHOLE_LIST, HttpMessages.listRequest(HOST, "").length(), response.length());
             watcher.onWorkerList(false, workers.stream().map(SimulatedWorker::listEntry).toList());
             traffic.recordConnection(Role.SCHEDULER, Role.LIST_SERVICE, MessageKind.LIST_CONNECTION);
             traffic.recordCall(Role.SCHEDULER, Role.LIST_SERVICE, MessageKind.LIST_CONNECTION,
@@ -43,28 +43,28 @@
         });
     }
 
-    /** A watch's connection ended. */
+    /** Stops a watch because its connection ended. */
     void stopWatch(Watcher watcher) {
         watchers.remove(watcher);
     }
 
-    /** Entries that changed together are told in one line. */
+    /** Sends the changed entries to all watchers, in one line. */
     void publishChange(List<SimulatedWorker> entries) {
         version++;
         int bytes = HttpMessages.chunk(listJson(false, entries)).length();
-        List<Contract.Worker> listed = entries.stream().map(SimulatedWorker::listEntry).toList();
+        List<Contract.Worker> changedEntries = entries.stream().map(SimulatedWorker::listEntry).toList();
         for (Watcher watcher : List.copyOf(watchers)) {
             traffic.recordMessage(Role.LIST_SERVICE, Role.SCHEDULER, MessageKind.LIST_CHANGE, bytes);
             queue.schedule(Network.SAME_ZONE_US, () -> {
                 if (watchers.contains(watcher)) {
-                    watcher.onWorkerList(true, listed);
+                    watcher.onWorkerList(true, changedEntries);
                 }
             });
         }
     }
 
-    private String listJson(boolean full, List<SimulatedWorker> entries) {
-        StringBuilder text = new StringBuilder("{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[");
+    private String listJson(boolean isFull, List<SimulatedWorker> entries) {
+        StringBuilder text = new StringBuilder("{\"version\":" + version + ",\"full\":" + isFull + ",\"servers\":[");
         for (int i = 0; i < entries.size(); i++) {
             text.append(i == 0 ? "" : ",").append(entries.get(i).listEntryJson());
         }
--- a/lab/src/main/java/hookweir/lab/scale/MessageKind.java
+++ b/lab/src/main/java/hookweir/lab/scale/MessageKind.java
@@ -1,33 +1,33 @@
 package hookweir.lab.scale;
 
-/** What a message is for. */
+/** The purpose of a message. */
 enum MessageKind {
-    /** A scheduler asks a worker for its load, and the answer. */
+    /** A scheduler's load probe of a worker, and the response. */
     PROBE(true),
-    /** A connection that was opened for a probe. */
+    /** A new connection opened for a probe. */
     PROBE_CONNECTION(true),
-    /** A line of a watch that names changed workers. */
+    /** A line of a watch response that lists changed workers. */
     LIST_CHANGE(true),
-    /** An empty line of a watch. */
+    /** An empty line of a watch response, sent as a heartbeat. */
     LIST_HEARTBEAT(true),
-    /** The whole list, and its request. */
+    /** A request for the whole worker list, and the response. */
     WHOLE_LIST(true),
-    /** A connection to the list service, with the request that begins a watch. */
+    /** A new connection to the list service; for a watch, also its request and the response head. */
     LIST_CONNECTION(true),
-    /** A poll of the configuration, with the file where it changed. */
+    /** A poll of the configuration; the response contains the file if it changed. */
     CONFIGURATION(true),
-    /** An attempt, with the worker's 202 or refusal, and its cancellation. */
+    /** An attempt and the worker's 202 or 503 response, or the cancellation of an attempt and its response. */
     JOB(false),
-    /** A connection that was opened for an attempt. */
+    /** A new connection opened for an attempt. */
     JOB_CONNECTION(false),
-    /** A worker's call at the end of a job, and the answer. */
+    /** A worker's callback at the end of a job, and the response. */
     CALL_BACK(false),
-    /** A connection that was opened for a call-back. */
+    /** A new connection opened for a callback. */
     CALL_BACK_CONNECTION(false),
-    /** A client's job and the final answer. */
+    /** A client's job request, or the final response. */
     CLIENT(false);
 
-    /** It is control traffic: it carries no job and no result. */
+    /** Whether this is control traffic, which carries neither a job nor a result. */
     final boolean isControl;
 
     MessageKind(boolean isControl) {
--- a/lab/src/main/java/hookweir/lab/scale/Network.java
+++ b/lab/src/main/java/hookweir/lab/scale/Network.java
@@ -1,14 +1,14 @@
 package hookweir.lab.scale;
 
-/** How long messages take between zones, and which do not arrive. Times are assumed. */
+/** The simulated network: message delays between zones, and partitions. */
 final class Network {
     static final long SAME_ZONE_US = 250;
     private static final long SAME_REGION_US = 500;
     private static final long CROSS_REGION_US = 15_000;
 
-    private boolean setPartitioned;
+    private boolean partitioned;
 
-    /** From one zone to another. */
+    /** Returns the one-way delay between two zones. */
     long oneWayUs(int from, int to) {
         if (from == to) {
             return SAME_ZONE_US;
@@ -16,14 +16,14 @@
         return regionOf(from) == regionOf(to) ? SAME_REGION_US : CROSS_REGION_US;
     }
 
-    /** Cuts the regions off from each other, or joins them again. */
+    /** Starts or ends a network partition between the regions. */
     void setPartitioned(boolean on) {
-        setPartitioned = on;
+        partitioned = on;
     }
 
-    /** What a scheduler of this zone sends to the worker arrives. */
+    /** Returns whether the worker responds to messages from this zone. */
     boolean canReach(int fromZone, SimulatedWorker worker) {
-        return !worker.unresponsive && !(setPartitioned && regionOf(fromZone) != regionOf(worker.zone));
+        return !worker.unresponsive && !(partitioned && regionOf(fromZone) != regionOf(worker.zone));
     }
 
     static int regionOf(int zone) {
--- a/lab/src/main/java/hookweir/lab/scale/ParameterSweep.java
+++ b/lab/src/main/java/hookweir/lab/scale/ParameterSweep.java
@@ -14,7 +14,10 @@
 import java.util.function.DoubleFunction;
 import java.util.function.ToDoubleFunction;
 
-/** All runs of docs/CAPACITY.md: each cost against one size at a time, up to the target and at twice it, then each failure at the target. */
+/**
+ * All simulations of docs/CAPACITY.md. Varies one parameter at a time, up to the target value and at twice that value, and fits the costs.
+ * Then runs each failure at the target.
+ */
 final class ParameterSweep {
     private static final int TARGET_WORKERS = Shape.target().workers();
     private static final int TARGET_SCHEDULERS = Shape.target().schedulers();
@@ -26,11 +29,13 @@
     private static final double[] FULL_SHARES = {0, 0.15, 0.3, 0.45, 0.6, 0.75};
     private static final double TARGET_FULL_SHARE = 0.6;
     private static final double TARGET_CHANGES_PER_HOUR = Shape.target().changesPerHour();
-    private static final double[] CHANGES_PER_HOUR = {TARGET_CHANGES_PER_HOUR / 8, TARGET_CHANGES_PER_HOUR / 4, TARGET_CHANGES_PER_HOUR / 2, TARGET_CHANGES_PER_HOUR, 2 * TARGET_CHANGES_PER_HOUR};
-    /** A day's restarts within an hour. */
+    private static final double[] CHANGES_PER_HOUR = {TARGET_CHANGES_PER_HOUR / 8, TARGET_CHANGES_PER_HOUR / 4, TARGET_CHANGES_PER_HOUR / 2,
+        TARGET_CHANGES_PER_HOUR, 2 * TARGET_CHANGES_PER_HOUR};
+    /** The expected restarts of a whole day, simulated within an hour. */
     private static final double TARGET_RESTARTS_PER_HOUR = 147;
-    private static final double[] RESTARTS_PER_HOUR = {TARGET_RESTARTS_PER_HOUR / 8, TARGET_RESTARTS_PER_HOUR / 4, TARGET_RESTARTS_PER_HOUR / 2, TARGET_RESTARTS_PER_HOUR, 2 * TARGET_RESTARTS_PER_HOUR};
-    /** Schedulers in the runs that vary another size. */
+    private static final double[] RESTARTS_PER_HOUR = {TARGET_RESTARTS_PER_HOUR / 8, TARGET_RESTARTS_PER_HOUR / 4, TARGET_RESTARTS_PER_HOUR / 2,
+        TARGET_RESTARTS_PER_HOUR, 2 * TARGET_RESTARTS_PER_HOUR};
+    /** Number of schedulers in most runs that vary another parameter. */
     private static final int FEW_SCHEDULERS = 20;
     private static final long SHORT_SERVICE_MS = 500;
     private static final int THREADS = 4;
@@ -41,7 +46,7 @@
     private final Path out;
     private final Shape target;
     private final List<Row> rows = new ArrayList<>();
-    private final List<LinearFit> slopes = new ArrayList<>();
+    private final List<LinearFit> fits = new ArrayList<>();
 
     private ParameterSweep(Path out, long seed) {
         this.out = out;
@@ -56,14 +61,15 @@
         sweep.sweepSmallFleets();
         sweep.runRealRunCounterparts();
         ScaleReport.writeJson(out, "rows", sweep.rows);
-        ScaleReport.writeJson(out, "slopes", sweep.slopes);
+        ScaleReport.writeJson(out, "slopes", sweep.fits);
         sweep.print();
     }
 
     private void sweepWorkers() throws IOException {
         Shape few = target.withSize(TARGET_WORKERS, FEW_SCHEDULERS, TARGET_RATE).withLoad(SHORT_SERVICE_MS, 0);
         List<Row> light = series("workers, light", WORKER_COUNTS, x -> few.withSize((int) x, FEW_SCHEDULERS, TARGET_RATE));
-        List<Row> full = series("workers, 60% full", WORKER_COUNTS, x -> few.withLoad(SHORT_SERVICE_MS, TARGET_FULL_SHARE).withSize((int) x, FEW_SCHEDULERS, TARGET_RATE));
+        List<Row> full = series("workers, 60% full", WORKER_COUNTS,
+            x -> few.withLoad(SHORT_SERVICE_MS, TARGET_FULL_SHARE).withSize((int) x, FEW_SCHEDULERS, TARGET_RATE));
         ToDoubleFunction<Row> size = row -> row.shape().workers();
         List<LinearFit> control = List.of(fit("control B/s, light", "workers", TARGET_WORKERS, light, size, Row::controlBytesPerS),
             fit("control B/s, 60% full", "workers", TARGET_WORKERS, full, size, Row::controlBytesPerS));
@@ -122,14 +128,14 @@
         runAll(runs);
     }
 
-    /** Where the bounds are passed: two schedulers of 4.4 jobs/s each, whose tasks fit on ten workers. */
+    /** Finds the small fleet sizes that exceed the limits: two schedulers with 4.4 jobs/s each, whose tasks fit on ten workers. */
     private void sweepSmallFleets() {
         Shape two = target.withSize(TARGET_WORKERS, 2, TARGET_RATE).withLoad(SHORT_SERVICE_MS, 0);
         series("small, light", SMALL_WORKER_COUNTS, x -> two.withSize((int) x, 2, TARGET_RATE));
         series("small, 60% full", SMALL_WORKER_COUNTS, x -> two.withLoad(SHORT_SERVICE_MS, TARGET_FULL_SHARE).withSize((int) x, 2, TARGET_RATE));
     }
 
-    /** One scheduler in the sizes and spans of {@link RealRun}. */
+    /** Simulates one scheduler with the sizes and time spans of {@link RealRun}, for comparison. */
     private void runRealRunCounterparts() {
         Shape one = target.withSize(TARGET_WORKERS, 1, TARGET_RATE).withLoad(SHORT_SERVICE_MS, 0);
         Map<String, Shape> runs = new LinkedHashMap<>();
@@ -150,7 +156,7 @@
         return runAll(runs);
     }
 
-    /** Each run is a world of its own, so some may run beside each other; rows come in the order of the runs. */
+    /** Runs the simulations in parallel, as they share no state, and returns the results in the order of the map. */
     private List<Row> runAll(Map<String, Shape> runs) {
         ExecutorService threads = Executors.newFixedThreadPool(THREADS);
         try {
@@ -171,22 +177,22 @@
     }
 
     private LinearFit fit(String cost, String against, double targetSize, List<Row> series, ToDoubleFunction<Row> size, ToDoubleFunction<Row> value) {
-        LinearFit slope = LinearFit.of(cost, against, targetSize, series, size, value);
-        slopes.add(slope);
-        return slope;
+        LinearFit fit = LinearFit.of(cost, against, targetSize, series, size, value);
+        fits.add(fit);
+        return fit;
     }
 
     private void print() {
         System.out.printf("%n%-32s %-36s %10s %12s %8s %6s %11s %11s  %s%n", "cost", "against", "intercept", "slope", "+-", "R2", "predicted", "measured",
             "residuals");
-        for (LinearFit s : slopes) {
+        for (LinearFit fit : fits) {
             StringBuilder residuals = new StringBuilder();
-            for (double residual : s.residuals()) {
+            for (double residual : fit.residuals()) {
                 residuals.append(String.format(Locale.ROOT, "%.4g ", residual));
             }
-            System.out.printf(Locale.ROOT, "%-32s %-36s %10.4g %12.4g %8.2g %6.3f %11.4g %11.4g  %s%n", s.cost(), s.against(), s.intercept(),
-                s.slope(), s.slopeError(), s.rSquare(), s.predicted(), s.measured(), residuals);
+            System.out.printf(Locale.ROOT, "%-32s %-36s %10.4g %12.4g %8.2g %6.3f %11.4g %11.4g  %s%n", fit.cost(), fit.against(), fit.intercept(),
+                fit.slope(), fit.slopeError(), fit.rSquare(), fit.predicted(), fit.measured(), residuals);
         }
-        System.out.println(Map.of("rows", rows.size(), "slopes", slopes.size()) + " in " + out);
+        System.out.println(Map.of("rows", rows.size(), "slopes", fits.size()) + " in " + out);
     }
 }
--- a/lab/src/main/java/hookweir/lab/scale/RealRun.java
+++ b/lab/src/main/java/hookweir/lab/scale/RealRun.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One real scheduler, started as operators start it, among stand-in workers: what hollow ones are held against. */
+/** Runs one real scheduler process with stub workers, started as operators start it. The simulation is compared with its result. */
 final class RealRun {
     private static final long MIN_SOFT_DEADLINE_MS = 1000;
     private static final int SOFT_DEADLINE_FACTOR = 3;
@@ -18,7 +18,7 @@
     private static final String REQUEST_CLASS = "job";
     private static final double PERCENT = 100;
 
-    /** A span of the run. */
+    /** A measured part of the run, with its length. */
     private enum Span {
         START(20), FIRST_PROBES(60), SETTLING(120), STEADY(200);
 
@@ -30,11 +30,11 @@
     }
 
     /**
-     * One span.
+     * The measurements of one span.
      *
-     * @param cpuPercent of a core
-     * @param connectionsPerJob that workers accepted
-     * @param probeRequestBytes of HTTP
+     * @param cpuPercent CPU time of the scheduler, in percent of one core
+     * @param connectionsPerJob connections that the workers accepted, per job served
+     * @param probeRequestBytes mean HTTP bytes of a probe request
      */
     record RealRow(String span, int seconds, int workers, double jobsPerS, double servedPerS, double probesPerS, double connectionsPerJob,
             double probeRequestBytes, double cpuPercent, double residentMb, double refusedShare, long failed, double p50Ms, double p99Ms) {
@@ -47,8 +47,8 @@
         long softDeadlineMs = Math.max(MIN_SOFT_DEADLINE_MS, (long) SOFT_DEADLINE_FACTOR * serviceMs);
         Clients.Plan plan = new Clients.Plan(CLIENT_COUNT, rate, HttpMessages.JOB_BODY_BYTES, 2 * softDeadlineMs, REQUEST_CLASS);
         List<RealRow> rows = new ArrayList<>();
-        Bench.Setting setting = new Bench.Setting(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS, "pull", "", false,
-            null);
+        Bench.Setting setting = new Bench.Setting(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS,
+            "pull", "", false, null);
         try (Bench bench = new Bench(setting)) {
             Clients clients = bench.begin(plan);
             for (Span span : Span.values()) {
--- a/lab/src/main/java/hookweir/lab/scale/Role.java
+++ b/lab/src/main/java/hookweir/lab/scale/Role.java
@@ -1,4 +1,4 @@
 package hookweir.lab.scale;
 
-/** Who sends or gets a message. */
+/** The role of a process that sends or receives messages. */
 enum Role { SCHEDULER, LIST_SERVICE, WORKER, CONFIGURATION, CLIENT }
--- a/lab/src/main/java/hookweir/lab/scale/Row.java
+++ b/lab/src/main/java/hookweir/lab/scale/Row.java
@@ -6,28 +6,28 @@
 import java.util.Map;
 
 /**
- * What a run came to. Bytes are those on the wire as {@link WireSize} has it.
+ * The result of a simulation. Bytes are bytes on the wire as {@link WireSize} estimates them.
  *
- * @param name of the run
- * @param running tasks, mean
- * @param controlBytesPerS in and out of one scheduler
- * @param controlPeakBytesPerS the same in the worst second, mean over schedulers
- * @param changeBytesPerS of that, for changes of the list
- * @param configurationBytesPerS of that, for the configuration
- * @param schedulerBytesPerS in and out of one scheduler, jobs and results too
- * @param listBytesPerS in and out of the list service
- * @param listPeakBytesPerS the same in the worst second
- * @param probesPerWorkerS that one worker answers
- * @param wholeListBytes of one whole list with its request, those of the start included
- * @param probeConnectionsPerJob opened by schedulers for probes
- * @param jobConnectionsPerJob opened by schedulers for attempts
- * @param callBackConnectionsPerJob opened by workers
- * @param turnedAwayPerJob attempts that a worker declined
- * @param lostPerJob attempts that timed out, were reset or found no connection
- * @param unheardShare of the attempts, sent on no figure
- * @param ageP50S age of the figure that an attempt was sent on
- * @param spread standard deviation of tasks begun for each slot of a worker, over the mean
- * @param inForceMaxS from a configuration change to its being in force at the last scheduler
+ * @param name name of the run
+ * @param running mean number of running tasks
+ * @param controlBytesPerS control traffic in and out of one scheduler
+ * @param controlPeakBytesPerS the same in the second with the most traffic, averaged over the schedulers
+ * @param changeBytesPerS part of the control traffic for worker list changes
+ * @param configurationBytesPerS part of the control traffic for the configuration
+ * @param schedulerBytesPerS all traffic in and out of one scheduler, including jobs and results
+ * @param listBytesPerS control traffic in and out of the list service
+ * @param listPeakBytesPerS the same in the second with the most traffic
+ * @param probesPerWorkerS probes per second sent to one worker
+ * @param wholeListBytes bytes of one whole list with its request, including fetches during the warm-up
+ * @param probeConnectionsPerJob connections that schedulers opened for probes
+ * @param jobConnectionsPerJob connections that schedulers opened for attempts
+ * @param callBackConnectionsPerJob connections that workers opened for callbacks
+ * @param turnedAwayPerJob attempts that a worker rejected because it was full
+ * @param lostPerJob attempts that timed out, were reset or could not connect
+ * @param unheardShare share of the attempts at workers without a load report
+ * @param ageP50S median age of the load report on which an attempt was based
+ * @param spread coefficient of variation over the workers of the tasks started per slot
+ * @param inForceMaxS longest time from a configuration change until a scheduler applied it
  */
 record Row(String name, Shape shape, long jobs, double running, double probesPerJob, double probesPerS, double controlBytesPerS,
         double controlPeakBytesPerS, double changeBytesPerS, double configurationBytesPerS, double schedulerBytesPerS, double listBytesPerS,
@@ -36,57 +36,58 @@
         double refusedPerJob, double failedPerJob, double unheardShare, double ageP50S, double ageP99S, double spread, double inForceP50S,
         double inForceMaxS, Map<String, Map<String, Traffic.Tally>> traffic) {
     private static final double MAX_CONTROL_BYTES_PER_S = 4096;
-    /** Workers asked before an attempt, four at most, and a fifth as many by the clock; a few more where those asked had no room. */
+    /** At most four probes before an attempt, a fifth as many by timer, and a few more if the probed workers had no free capacity. */
     private static final double MAX_PROBES_PER_JOB = 6;
-    /** Each worker is asked once in 50 s at most while it is full, where jobs are few. */
+    /** When jobs are few, a full worker is probed by timer at most once in 50 s. */
     private static final double MAX_TIMED_PROBES_PER_WORKER_S = 0.02;
     private static final double MAX_PERCENTILE = 100;
 
-    static Row of(Simulation world, Traffic traffic, PerSecondStats peaks) {
-        Shape shape = world.shape;
-        SimulationMetrics figures = world.metrics;
-        double jobs = Math.max(1, figures.jobs);
+    static Row of(Simulation simulation, Traffic traffic, PerSecondStats stats) {
+        Shape shape = simulation.shape;
+        SimulationMetrics metrics = simulation.metrics;
+        double jobs = Math.max(1, metrics.jobs);
         double schedulerSeconds = (double) shape.seconds() * shape.schedulers();
-        Traffic.Tally whole = world.traffic.tally(Role.SCHEDULER, MessageKind.WHOLE_LIST);
+        Traffic.Tally whole = simulation.traffic.tally(Role.SCHEDULER, MessageKind.WHOLE_LIST);
         Traffic.Tally change = traffic.tally(Role.SCHEDULER, MessageKind.LIST_CHANGE);
         Traffic.Tally configuration = traffic.tally(Role.SCHEDULER, MessageKind.CONFIGURATION);
         long probeConnections = traffic.tally(Role.SCHEDULER, MessageKind.PROBE_CONNECTION).messages();
         long jobConnections = traffic.tally(Role.SCHEDULER, MessageKind.JOB_CONNECTION).messages();
-        long lost = figures.attemptsEndedWith(Outcome.TIMEOUT) + figures.attemptsEndedWith(Outcome.RESET) + figures.attemptsEndedWith(Outcome.CONNECT_FAILED);
-        return new Row("", shape, figures.jobs, peaks.meanRunningTasks(), figures.probes / jobs, figures.probes / schedulerSeconds,
-            traffic.controlTally(Role.SCHEDULER).bytes() / schedulerSeconds, peaks.peakControlBytes() / (double) shape.schedulers(), change.bytes() / schedulerSeconds,
-            configuration.bytes() / schedulerSeconds, totalBytes(traffic, Role.SCHEDULER) / schedulerSeconds,
-            traffic.controlTally(Role.LIST_SERVICE).bytes() / (double) shape.seconds(), (double) peaks.peakListServiceBytes(),
-            figures.probes / (double) shape.seconds() / shape.workers(),
+        long lost = metrics.attemptsEndedWith(Outcome.TIMEOUT) + metrics.attemptsEndedWith(Outcome.RESET)
+            + metrics.attemptsEndedWith(Outcome.CONNECT_FAILED);
+        return new Row("", shape, metrics.jobs, stats.meanRunningTasks(), metrics.probes / jobs, metrics.probes / schedulerSeconds,
+            traffic.controlTally(Role.SCHEDULER).bytes() / schedulerSeconds, stats.peakControlBytes() / (double) shape.schedulers(),
+            change.bytes() / schedulerSeconds, configuration.bytes() / schedulerSeconds, totalBytes(traffic, Role.SCHEDULER) / schedulerSeconds,
+            traffic.controlTally(Role.LIST_SERVICE).bytes() / (double) shape.seconds(), (double) stats.peakListServiceBytes(),
+            metrics.probes / (double) shape.seconds() / shape.workers(),
             whole.messages() == 0 ? 0 : whole.bytes() / (whole.messages() / 2.0), probeConnections / jobs, jobConnections / jobs,
-            traffic.tally(Role.WORKER, MessageKind.CALL_BACK_CONNECTION).messages() / jobs, figures.attemptsEndedWith(Outcome.FULL) / jobs, lost / jobs,
-            figures.rejected / jobs, figures.failed / jobs, figures.attemptsWithoutLoadReport / (double) Math.max(1, figures.attempts),
-            figures.loadReportAgeS.percentile(50), figures.loadReportAgeS.percentile(99), spread(world), figures.activationDelayS.percentile(50),
-            figures.activationDelayS.percentile(MAX_PERCENTILE), traffic.toTable());
+            traffic.tally(Role.WORKER, MessageKind.CALL_BACK_CONNECTION).messages() / jobs, metrics.attemptsEndedWith(Outcome.FULL) / jobs, lost / jobs,
+            metrics.rejected / jobs, metrics.failed / jobs, metrics.attemptsWithoutLoadReport / (double) Math.max(1, metrics.attempts),
+            metrics.loadReportAgeS.percentile(50), metrics.loadReportAgeS.percentile(99), taskSpread(simulation), metrics.activationDelayS.percentile(50),
+            metrics.activationDelayS.percentile(MAX_PERCENTILE), traffic.toTable());
     }
 
     private static double totalBytes(Traffic traffic, Role role) {
         return Arrays.stream(MessageKind.values()).mapToLong(kind -> traffic.tally(role, kind).bytes()).sum();
     }
 
-    private static double spread(Simulation world) {
-        double[] perSlot = world.workers.stream().mapToDouble(worker -> (double) worker.startedTasks / worker.slots).toArray();
+    private static double taskSpread(Simulation simulation) {
+        double[] perSlot = simulation.workers.stream().mapToDouble(worker -> (double) worker.startedTasks / worker.slots).toArray();
         double mean = Arrays.stream(perSlot).average().orElse(0);
         double variance = Arrays.stream(perSlot).map(x -> (x - mean) * (x - mean)).average().orElse(0);
         return mean == 0 ? 0 : Math.sqrt(variance) / mean;
     }
 
     /**
-     * What was seen second by second.
+     * Statistics from samples taken once per second.
      *
-     * @param peakControlBytes bytes of all schedulers in the worst second
-     * @param peakListServiceBytes bytes of the list service in the worst second
-     * @param meanRunningTasks tasks, mean
+     * @param peakControlBytes control traffic of all schedulers in the second with the most of it
+     * @param peakListServiceBytes control traffic of the list service in the second with the most of it
+     * @param meanRunningTasks mean number of running tasks
      */
     record PerSecondStats(long peakControlBytes, long peakListServiceBytes, double meanRunningTasks) {
     }
 
-    /** With a name. */
+    /** Returns a copy with this name. */
     Row withName(String newName) {
         return new Row(newName, shape, jobs, running, probesPerJob, probesPerS, controlBytesPerS, controlPeakBytesPerS, changeBytesPerS,
             configurationBytesPerS, schedulerBytesPerS, listBytesPerS, listPeakBytesPerS, probesPerWorkerS, wholeListBytes, probeConnectionsPerJob,
@@ -94,30 +95,30 @@
             turnedAwayPerJob, lostPerJob, refusedPerJob, failedPerJob, unheardShare, ageP50S, ageP99S, spread, inForceP50S, inForceMaxS, traffic);
     }
 
-    /** Connections opened by schedulers. */
+    /** Returns the connections that schedulers opened, per job. */
     double newConnectionsPerJob() {
         return probeConnectionsPerJob + jobConnectionsPerJob;
     }
 
-    /** Probes are bounded by the jobs that they serve and a rare timed one of each worker. */
+    /** Returns whether the probe rate is within the limit, which allows some probes for each job and a rare timed probe of each worker. */
     boolean withinProbeLimit() {
         double timedPerS = MAX_TIMED_PROBES_PER_WORKER_S * shape.workers();
         return probesPerS <= MAX_PROBES_PER_JOB * shape.jobsPerSecond() + timedPerS;
     }
 
-    /** The bound on a scheduler's control traffic is kept. */
+    /** Returns whether the control traffic of a scheduler is within the limit. */
     boolean withinControlTrafficLimit() {
         return controlBytesPerS <= MAX_CONTROL_BYTES_PER_S;
     }
 
-    /** The columns of {@link #tableLine}. */
+    /** Returns the column headings of {@link #tableLine}. */
     static String tableHeader() {
         return String.format("%-24s %7s %6s %6s %7s %7s %8s %8s %9s", "run", "workers", "scheds", "jobs/s", "running", "probe/s", "ctl B/s", "ctl peak",
             "list B/s") + String.format(" %8s %8s %8s %8s %8s %8s %8s %8s %7s %7s", "prb-c/j", "job-c/j", "cb-c/j", "full/job", "lost/job", "ref/job",
             "age p50", "age p99", "unheard", "spread");
     }
 
-    /** One line of the table. */
+    /** Returns this result as one line of the table. */
     String tableLine() {
         return String.format(Locale.ROOT, "%-24s %7d %6d %6.2f %7.0f %7.2f %8.0f %8.0f %9.0f", name, shape.workers(), shape.schedulers(),
             shape.jobsPerSecond(), running, probesPerS, controlBytesPerS, controlPeakBytesPerS, listBytesPerS)
--- a/lab/src/main/java/hookweir/lab/scale/Samples.java
+++ b/lab/src/main/java/hookweir/lab/scale/Samples.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 
-/** Figures of one kind, and their percentiles. */
+/** A collection of values that gives their percentiles. */
 final class Samples {
     private double[] values = new double[64];
     private int count;
@@ -15,7 +15,7 @@
         values[count++] = value;
     }
 
-    /** Forgets all. */
+    /** Removes all values. */
     void clear() {
         count = 0;
     }
@@ -24,7 +24,7 @@
         return count;
     }
 
-    /** 0 where there are none. */
+    /** Returns this percentile of the values, or 0 if there are none. */
     double percentile(double percent) {
         return count == 0 ? 0 : new Percentile(percent).evaluate(Arrays.copyOf(values, count));
     }
--- a/lab/src/main/java/hookweir/lab/scale/SimulatedScheduler.java
+++ b/lab/src/main/java/hookweir/lab/scale/SimulatedScheduler.java
@@ -12,17 +12,18 @@
 import java.util.Map;
 import java.util.Random;
 
-/** A scheduler without sockets: the real decision module on the virtual clock, with the messages that its host would exchange. */
+/** A simulated scheduler: runs the real decision module on the virtual clock, and counts the messages of its host instead of using sockets. */
 final class SimulatedScheduler implements Contract.Host, ListService.Watcher {
     private static final int MAX_ATTEMPTS = 3;
     private static final int MAX_DESCRIPTORS = 1024;
     private static final long MAX_HELD_BYTES = 16 << 20;
     private static final int MAX_HELD_JOBS = 4096;
     private static final String HOST = "10.0.0.1:8080";
-    /** A worker that is well takes a job or answers a probe within these. */
+    /** A healthy worker accepts a job within this time. */
     private static final long ACCEPT_TIMEOUT_US = 6 * ConnectionPool.CONNECT_TIMEOUT_US;
+    /** A healthy worker responds to a probe within this time. */
     private static final long PROBE_TIMEOUT_US = 2 * ConnectionPool.CONNECT_TIMEOUT_US;
-    /** A scheduler ends a connection on which workers have been silent for so long. */
+    /** A scheduler closes a connection from a worker that has been idle for this long. */
     private static final long CALLBACK_IDLE_TIMEOUT_US = 60_000_000;
     private static final long CALLBACK_RETRY_DELAY_US = 1_000_000;
     private static final int MAX_CALLBACK_TRIES = 10;
@@ -31,7 +32,7 @@
     private static final long MIN_SOFT_DEADLINE_US = 1_000_000;
     private static final long PROBE_ALL_INTERVAL_US = 1_000_000;
 
-    /** One attempt of a job. */
+    /** An attempt to run a job at one worker. */
     private static final class Attempt {
         private final int requestId;
         private final int number;
@@ -41,19 +42,19 @@
         private boolean isAccepted;
         private int incarnation;
 
-        Attempt(int request, int number, SimulatedWorker worker, long startUs) {
-            this.requestId = request;
+        Attempt(int requestId, int number, SimulatedWorker worker, long startUs) {
+            this.requestId = requestId;
             this.number = number;
             this.worker = worker;
             this.startUs = startUs;
         }
     }
 
-    /** One job. */
+    /** A job of a client with its attempts. */
     private static final class Job {
         private final List<Attempt> attempts = new ArrayList<>();
         private long deadlineAtUs;
-        private boolean isAnswered;
+        private boolean isResponseSent;
     }
 
     final int zone;
@@ -66,9 +67,9 @@
     private final ConnectionPool connections;
     private final ResourceBudget resourceBudget;
     private final Map<Integer, Job> jobs = new HashMap<>();
-    /** When the figures last heard of each worker were made; negative where none was heard. */
+    /** Time of the last load report received from each worker; negative if there was none. */
     private final long[] lastReportUs;
-    /** Of each worker, when its idle connections for call-backs were last used. */
+    /** For each worker, the times when its idle callback connections were last used. */
     private final Map<Integer, Deque<Long>> idleCallbackConnections = new HashMap<>();
     private final Runnable stopPolling;
     private int nextRequest;
@@ -88,7 +89,8 @@
         java.util.Arrays.fill(lastReportUs, -1);
         resourceBudget = new ResourceBudget(MAX_HELD_BYTES, MAX_HELD_JOBS);
         resourceBudget.setMaxDescriptors(MAX_DESCRIPTORS);
-        connections = new ConnectionPool(queue, simulation.network, traffic, zone, resourceBudget, this::acceptedConnections, () -> simulation.workers.size());
+        connections = new ConnectionPool(queue, simulation.network, traffic, zone, resourceBudget, this::acceptedConnections,
+            () -> simulation.workers.size());
         stopPolling = simulation.configurationSource.startPolling(() -> policy.settingsChanged(queue.nowUs(), settings));
         policy.workerListReceived(queue.nowUs(), false, List.of());
         if (simulation.shape.mechanism() == Shape.Mechanism.PROBE_ALL) {
@@ -121,7 +123,7 @@
         return settings;
     }
 
-    /** Its process ends, with all that it holds. */
+    /** Ends the scheduler process, which loses all its jobs and connections. */
     void kill() {
         isStopped = true;
         simulation.listService.stopWatch(this);
@@ -155,7 +157,8 @@
         request.deadlineAtUs = job.deadlineAtUs;
         jobs.put(request.id, job);
         simulation.metrics.jobs++;
-        traffic.recordMessage(Role.CLIENT, Role.SCHEDULER, MessageKind.CLIENT, HttpMessages.jobRequestBytes("app.svc", settings.classes.get(0).deadlineUs / 1000));
+        traffic.recordMessage(Role.CLIENT, Role.SCHEDULER, MessageKind.CLIENT,
+            HttpMessages.jobRequestBytes("app.svc", settings.classes.get(0).deadlineUs / 1000));
         policy.requestAccepted(queue.nowUs(), request);
         scheduleIfRunning(nextArrivalDelayUs(), this::acceptJob);
     }
@@ -181,7 +184,7 @@
         Attempt attempt = new Attempt(requestId, job.attempts.size(), worker, queue.nowUs());
         job.attempts.add(attempt);
         long remainingUs = job.deadlineAtUs - queue.nowUs();
-        if (job.isAnswered || remainingUs <= 0) {
+        if (job.isResponseSent || remainingUs <= 0) {
             scheduleIfRunning(0, () -> endAttempt(attempt, Outcome.MOOT));
             return;
         }
@@ -212,7 +215,8 @@
         long oneWay = simulation.network.oneWayUs(zone, worker.zone);
         queue.schedule(oneWay, () -> {
             boolean accepted = !attempt.isEnded && !connection.isBroken() && worker.tryAccept();
-            traffic.recordCall(Role.SCHEDULER, Role.WORKER, MessageKind.JOB, requestBytes, (accepted ? HttpMessages.ACCEPTED : HttpMessages.DECLINED).length());
+            traffic.recordCall(Role.SCHEDULER, Role.WORKER, MessageKind.JOB, requestBytes,
+                (accepted ? HttpMessages.ACCEPTED : HttpMessages.DECLINED).length());
             if (accepted) {
                 startTask(attempt);
             }
@@ -236,13 +240,13 @@
 
     private void taskFinished(Attempt attempt) {
         if (!attempt.isAccepted) {
-            return; // called off before
+            return; // The attempt was cancelled.
         }
         attempt.worker.taskEnded(attempt.incarnation);
         sendCallback(attempt, 1);
     }
 
-    /** A worker repeats its call until it is answered, some times at most; of a process that died its machine tells. */
+    /** Sends a callback, which the worker retries a limited number of times. If the worker process died, its machine reports that instead. */
     private void sendCallback(Attempt attempt, int tryNumber) {
         SimulatedWorker worker = attempt.worker;
         if (isStopped || worker.unresponsive || tryNumber > MAX_CALLBACK_TRIES) {
@@ -261,17 +265,19 @@
         }
         long oneWay = simulation.network.oneWayUs(zone, worker.zone);
         scheduleIfRunning(isReused ? oneWay : 3 * oneWay, () -> {
-            traffic.recordCall(Role.WORKER, Role.SCHEDULER, MessageKind.CALL_BACK, HttpMessages.callbackRequestBytes(HOST, worker.name), HttpMessages.NO_CONTENT.length());
+            traffic.recordCall(Role.WORKER, Role.SCHEDULER, MessageKind.CALL_BACK, HttpMessages.callbackRequestBytes(HOST, worker.name),
+                HttpMessages.NO_CONTENT.length());
             idleSinceUs.addFirst(queue.nowUs());
             endAttempt(attempt, attempt.incarnation == worker.incarnation ? Outcome.OK : Outcome.RESET);
         });
     }
 
-    /** Connections on which workers called not long ago, as far as they are kept. */
+    /** Returns the number of connections from workers that have not reached their idle timeout, limited by the resource budget. */
     private int acceptedConnections() {
         if (queue.nowUs() >= acceptedCountedAtUs + ACCEPTED_COUNT_INTERVAL_US) {
             acceptedCountedAtUs = queue.nowUs();
-            idleCallbackConnections.values().forEach(idle -> idle.removeIf(used -> queue.nowUs() - used >= CALLBACK_IDLE_TIMEOUT_US));
+            idleCallbackConnections.values()
+                .forEach(lastUsedUs -> lastUsedUs.removeIf(usedUs -> queue.nowUs() - usedUs >= CALLBACK_IDLE_TIMEOUT_US));
             idleCallbackConnections.values().removeIf(Deque::isEmpty);
             acceptedConnections = idleCallbackConnections.values().stream().mapToInt(Deque::size).sum();
         }
@@ -291,7 +297,8 @@
             return;
         }
         if (attempt.isAccepted) {
-            traffic.recordCall(Role.SCHEDULER, Role.WORKER, MessageKind.JOB, HttpMessages.cancelRequest(attempt.worker.host).length(), HttpMessages.DELETED.length());
+            traffic.recordCall(Role.SCHEDULER, Role.WORKER, MessageKind.JOB, HttpMessages.cancelRequest(attempt.worker.host).length(),
+                HttpMessages.DELETED.length());
             attempt.isAccepted = false;
             attempt.worker.taskEnded(attempt.incarnation);
         }
@@ -305,30 +312,31 @@
         attempt.isEnded = true;
         simulation.metrics.attemptEnded(outcome);
         Job job = jobs.get(attempt.requestId);
-        if (outcome == Outcome.OK && !job.isAnswered) {
-            answerClient(job, HttpMessages.resultResponseBytes());
+        if (outcome == Outcome.OK && !job.isResponseSent) {
+            sendClientResponse(job, HttpMessages.resultResponseBytes());
         }
-        policy.attemptEnded(queue.nowUs(), attempt.requestId, attempt.number, attempt.worker.id, outcome, queue.nowUs() - attempt.startUs, job.isAnswered, null);
+        policy.attemptEnded(queue.nowUs(), attempt.requestId, attempt.number, attempt.worker.id, outcome, queue.nowUs() - attempt.startUs,
+            job.isResponseSent, null);
     }
 
-    private void answerClient(Job job, int responseBytes) {
-        job.isAnswered = true;
+    private void sendClientResponse(Job job, int responseBytes) {
+        job.isResponseSent = true;
         traffic.recordMessage(Role.SCHEDULER, Role.CLIENT, MessageKind.CLIENT, responseBytes);
     }
 
     @Override
     public void reject(int requestId, long retryAfterUs) {
         simulation.metrics.rejected++;
-        answerClient(jobs.get(requestId), HttpMessages.rejectionResponse().length());
+        sendClientResponse(jobs.get(requestId), HttpMessages.rejectionResponse().length());
     }
 
     @Override
     public void fail(int requestId) {
         simulation.metrics.failed++;
-        answerClient(jobs.get(requestId), HttpMessages.rejectionResponse().length());
+        sendClientResponse(jobs.get(requestId), HttpMessages.rejectionResponse().length());
     }
 
-    // ---- probes, list, timers ----
+    // ---- probes, worker list, timers ----
 
     @Override
     public void probe(int workerId) {
@@ -386,11 +394,11 @@
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-        // schedulers do not speak to each other on sockets
+        // The simulation has no messages between schedulers.
     }
 
     @Override
     public void log(String text) {
-        // nobody reads it
+        // The simulation discards log lines.
     }
 }
--- a/lab/src/main/java/hookweir/lab/scale/SimulatedWorker.java
+++ b/lab/src/main/java/hookweir/lab/scale/SimulatedWorker.java
@@ -3,11 +3,11 @@
 import hookweir.Contract;
 import java.util.Locale;
 
-/** A worker without work: it holds tasks until their time is up, turns away what finds no slot, and tells what is free. */
+/** A simulated worker: holds a slot for each running task, rejects tasks when no slot is free, and reports its free slots. */
 final class SimulatedWorker {
     private static final int SLOTS_WITHOUT_ACCELERATORS = 8;
     private static final int ACCELERATORS_PER_WORKER = 3;
-    /** Five of eleven workers have accelerators: 1,500 in 1,100 workers. */
+    /** Five of eleven workers have accelerators, which makes 1,500 accelerators in 1,100 workers. */
     private static final int KIND_CYCLE_LENGTH = 11;
     private static final int ACCELERATOR_WORKERS_PER_CYCLE = 5;
 
@@ -18,14 +18,14 @@
     final int rack;
     final int kind;
     final int slots;
-    /** As the list has it; replaced by a new entry at each change. */
+    /** Current entry in the worker list; each change replaces it by a new object. */
     private Contract.Worker listEntry;
-    /** Taken by others' work. */
+    /** Whether all slots are occupied by work of other origin. */
     boolean occupiedByOthers;
-    /** Silent: what is sent to it is never answered. */
+    /** Whether the worker never responds to messages. */
     boolean unresponsive;
     boolean draining;
-    /** Of its process: a new one knows no connection and no task of the old. */
+    /** Number of the worker process; a new process has none of the connections and tasks of the old one. */
     int incarnation;
     long startedTasks;
     private int busySlots;
@@ -41,7 +41,7 @@
         updateListEntry(Contract.WorkerState.READY, 0);
     }
 
-    /** Changes its entry in the list. */
+    /** Replaces the entry in the worker list. */
     void updateListEntry(Contract.WorkerState state, long startedAtUs) {
         listEntry = new Contract.Worker();
         listEntry.id = id;
@@ -52,7 +52,7 @@
         listEntry.startedAtUs = startedAtUs;
     }
 
-    /** Its present entry. */
+    /** Returns the current entry in the worker list. */
     Contract.Worker listEntry() {
         return listEntry;
     }
@@ -61,7 +61,7 @@
         return occupiedByOthers || draining ? 0 : slots - busySlots;
     }
 
-    /** Takes a task, or not. */
+    /** Accepts a task if a slot is free; returns whether it did. */
     boolean tryAccept() {
         if (freeSlots() <= 0) {
             return false;
@@ -71,7 +71,7 @@
         return true;
     }
 
-    /** A task of this process ended. */
+    /** Frees the slot of a task that ended, unless the process that ran it has been replaced. */
     void taskEnded(int taskIncarnation) {
         if (taskIncarnation == incarnation) {
             busySlots--;
@@ -82,13 +82,13 @@
         return busySlots;
     }
 
-    /** Its process is replaced. */
+    /** Replaces the process, which loses all running tasks. */
     void restart() {
         incarnation++;
         busySlots = 0;
     }
 
-    /** Its entry in the list. */
+    /** Returns the entry in the worker list as the list service sends it. */
     String listEntryJson() {
         return "{\"id\":\"" + name + "\",\"addr\":\"" + host + "\",\"zone\":\"" + (char) ('a' + zone) + "\",\"kind\":\"" + (kind == 1 ? "g" : "m")
             + "\",\"cell\":" + rack + ",\"state\":\"" + stateName() + "\",\"weight\":1.0,\"started_ms\":" + listEntry.startedAtUs / 1000 + "}";
--- a/lab/src/main/java/hookweir/lab/scale/Simulation.java
+++ b/lab/src/main/java/hookweir/lab/scale/Simulation.java
@@ -5,19 +5,22 @@
 import java.util.List;
 import java.util.Random;
 
-/** Hollow workers and schedulers on one virtual clock, with what happens to them. The same shape gives the same figures each time. */
+/**
+ * One simulation: workers and schedulers on one virtual clock, with worker restarts, configuration changes and an injected failure.
+ * The same {@link Shape} always gives the same result.
+ */
 final class Simulation {
     private static final long SECOND_US = 1_000_000;
     private static final double HOUR_US = 3_600e6;
-    /** A worker is full of others' work or free of it for so long on average, both together. */
+    /** Mean length of one cycle in which a worker is once occupied and once not occupied by other work. */
     private static final double OCCUPANCY_CYCLE_US = 20e6;
-    /** Schedulers start one after the other within this. */
+    /** Schedulers start at random times within this period. */
     private static final long START_SPREAD_US = 2 * SECOND_US;
-    /** The list names a silent worker as gone after this: assumed. */
+    /** Time until the list service marks an unresponsive worker as gone. */
     private static final long FAILURE_DETECTION_US = 10 * SECOND_US;
-    /** A zone and a region come back after this. */
+    /** Duration of a zone failure and of a partition between regions. */
     private static final long OUTAGE_DURATION_US = 20 * SECOND_US;
-    /** A draining worker's process is replaced after this. */
+    /** Time from the start of draining until the worker process is replaced. */
     private static final long DRAIN_DURATION_US = 15 * SECOND_US;
 
     final Shape shape;
@@ -56,7 +59,7 @@
         schedulers[number] = new SimulatedScheduler(this, number, random.nextLong());
     }
 
-    /** Runs it; what was seen. */
+    /** Runs the simulation and returns its result. */
     Row run() {
         queue.runUntil(shape.warmUpSeconds() * SECOND_US);
         Traffic before = traffic.copy();
@@ -67,17 +70,17 @@
         long controlPeak = 0;
         long listPeak = 0;
         for (int second = 1; second <= shape.seconds(); second++) {
-            long control = traffic.controlTally(Role.SCHEDULER).bytes();
-            long listed = traffic.controlTally(Role.LIST_SERVICE).bytes();
+            long controlBefore = traffic.controlTally(Role.SCHEDULER).bytes();
+            long listServiceBefore = traffic.controlTally(Role.LIST_SERVICE).bytes();
             queue.runUntil((shape.warmUpSeconds() + second) * SECOND_US);
-            controlPeak = Math.max(controlPeak, traffic.controlTally(Role.SCHEDULER).bytes() - control);
-            listPeak = Math.max(listPeak, traffic.controlTally(Role.LIST_SERVICE).bytes() - listed);
+            controlPeak = Math.max(controlPeak, traffic.controlTally(Role.SCHEDULER).bytes() - controlBefore);
+            listPeak = Math.max(listPeak, traffic.controlTally(Role.LIST_SERVICE).bytes() - listServiceBefore);
             running += workers.stream().filter(worker -> !worker.unresponsive).mapToInt(SimulatedWorker::busySlots).sum();
         }
         return Row.of(this, traffic.since(before), new Row.PerSecondStats(controlPeak, listPeak, (double) running / shape.seconds()));
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
     private void startOccupancyCycle(SimulatedWorker worker) {
         worker.occupiedByOthers = random.nextDouble() < shape.fullShare();
@@ -111,14 +114,14 @@
         });
     }
 
-    private void restartAll(List<SimulatedWorker> back) {
-        for (SimulatedWorker worker : back) {
+    private void restartAll(List<SimulatedWorker> restarted) {
+        for (SimulatedWorker worker : restarted) {
             worker.restart();
             worker.unresponsive = false;
             worker.draining = false;
             worker.updateListEntry(Contract.WorkerState.READY, queue.nowUs());
         }
-        listService.publishChange(back);
+        listService.publishChange(restarted);
     }
 
     private void publishState(List<SimulatedWorker> changed, Contract.WorkerState state) {
--- a/lab/src/main/java/hookweir/lab/scale/SimulationMetrics.java
+++ b/lab/src/main/java/hookweir/lab/scale/SimulationMetrics.java
@@ -2,22 +2,22 @@
 
 import hookweir.Contract.Outcome;
 
-/** What is counted besides messages. */
+/** Counters and samples of a simulation, other than message traffic. */
 final class SimulationMetrics {
-    /** Age of the figure that each attempt was sent on, in seconds. */
+    /** Age of the load report on which each attempt was based, in seconds. */
     final Samples loadReportAgeS = new Samples();
-    /** From a configuration change to its being in force at one scheduler, in seconds. */
+    /** Time from a configuration change until one scheduler applies it, in seconds. */
     final Samples activationDelayS = new Samples();
     long jobs;
     long attempts;
-    /** Attempts at workers of which nothing had been heard. */
+    /** Attempts at workers from which no load report had been received. */
     long attemptsWithoutLoadReport;
     long probes;
     long rejected;
     long failed;
     private final long[] outcomes = new long[Outcome.values().length];
 
-    /** An attempt leaves, on a figure of this age in µs; negative: on none. */
+    /** Counts an attempt based on a load report of this age in µs; a negative age means that there was no report. */
     void attemptSent(long loadReportAgeUs) {
         attempts++;
         if (loadReportAgeUs < 0) {
@@ -27,17 +27,17 @@
         }
     }
 
-    /** An attempt ended. */
+    /** Counts an attempt that ended with this outcome. */
     void attemptEnded(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
-    /** So many ended like this. */
+    /** Returns the number of attempts that ended with this outcome. */
     long attemptsEndedWith(Outcome outcome) {
         return outcomes[outcome.ordinal()];
     }
 
-    /** Counts from now on. */
+    /** Resets all counters and samples, for example after the warm-up. */
     void reset() {
         loadReportAgeS.clear();
         activationDelayS.clear();
--- a/lab/src/main/java/hookweir/lab/scale/Traffic.java
+++ b/lab/src/main/java/hookweir/lab/scale/Traffic.java
@@ -3,12 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counts messages and bytes of each role and kind. */
+/** Counts the messages and bytes of each role and message kind. */
 final class Traffic {
     /**
-     * What one role sent and got of one kind.
+     * What one role sent and received of one message kind.
      *
-     * @param messages HTTP messages sent and received; for connections, how many were opened
+     * @param messages HTTP messages sent and received; for connections, the number of connections opened
      */
     record Tally(long messages, long bytesIn, long bytesOut) {
         static final Tally NONE = new Tally(0, 0, 0);
@@ -34,19 +34,19 @@
         }
     }
 
-    /** A request and its answer, which follows at once. */
-    void recordCall(Role from, Role to, MessageKind kind, int requestBytes, int answerBytes) {
-        int out = WireSize.dataBytes(requestBytes) + WireSize.acknowledgementBytes(answerBytes, false);
-        int back = WireSize.dataBytes(answerBytes) + WireSize.acknowledgementBytes(requestBytes, true);
+    /** Counts a request and its immediate response. */
+    void recordCall(Role from, Role to, MessageKind kind, int requestBytes, int responseBytes) {
+        int out = WireSize.dataBytes(requestBytes) + WireSize.acknowledgementBytes(responseBytes, false);
+        int back = WireSize.dataBytes(responseBytes) + WireSize.acknowledgementBytes(requestBytes, true);
         count(from, to, kind, 2, out, back);
     }
 
-    /** A message that no answer follows at once. */
+    /** Counts a message without an immediate response. */
     void recordMessage(Role from, Role to, MessageKind kind, int bytes) {
         count(from, to, kind, 1, WireSize.dataBytes(bytes), WireSize.acknowledgementBytes(bytes, false));
     }
 
-    /** A connection, from its first segment to its last. */
+    /** Counts the segments that open and close a connection. */
     void recordConnection(Role from, Role to, MessageKind kind) {
         count(from, to, kind, 1, WireSize.INITIATOR_OVERHEAD_BYTES, WireSize.ACCEPTOR_OVERHEAD_BYTES);
     }
@@ -60,12 +60,12 @@
         tallies[role.ordinal()][kind.ordinal()] = tally(role, kind).plus(tally);
     }
 
-    /** What was counted of it. */
+    /** Returns what a role sent and received of one message kind. */
     Tally tally(Role role, MessageKind kind) {
         return tallies[role.ordinal()][kind.ordinal()];
     }
 
-    /** Control traffic of a role. */
+    /** Returns the total control traffic of a role. */
     Tally controlTally(Role role) {
         Tally sum = Tally.NONE;
         for (MessageKind kind : MessageKind.values()) {
@@ -74,7 +74,7 @@
         return sum;
     }
 
-    /** What came since an earlier copy. */
+    /** Returns the traffic counted since an earlier copy was made. */
     Traffic since(Traffic earlier) {
         Traffic difference = new Traffic();
         for (Role role : Role.values()) {
@@ -85,12 +85,12 @@
         return difference;
     }
 
-    /** A copy. */
+    /** Returns a copy of the current counts. */
     Traffic copy() {
         return since(new Traffic());
     }
 
-    /** Role, then kind, without those of which nothing was seen. */
+    /** Returns the tallies by role and then by message kind, without kinds that have no messages. */
     Map<String, Map<String, Tally>> toTable() {
         Map<String, Map<String, Tally>> table = new LinkedHashMap<>();
         for (Role role : Role.values()) {
--- a/lab/src/main/java/hookweir/lab/scale/WireSize.java
+++ b/lab/src/main/java/hookweir/lab/scale/WireSize.java
@@ -1,31 +1,32 @@
 package hookweir.lab.scale;
 
 /**
- * Bytes on the wire, from bytes of HTTP, by a stated rule: TCP over IPv4 with timestamps, full segments of 1,448 bytes, 52 bytes
- * of headers for each; an acknowledgement alone (52 bytes) for every two segments, and for a last odd one that no answer
- * follows within the delay of an acknowledgement. No retransmissions, no Ethernet, no TLS.
+ * Estimates the bytes on the wire from the bytes of HTTP. The model is TCP over IPv4 with timestamps: segments of at most 1,448 bytes
+ * of payload with 52 bytes of headers each, and a separate acknowledgement (52 bytes) for every two segments. A last odd segment is
+ * acknowledged separately only if no response follows within the delayed-acknowledgement time. Retransmissions, Ethernet framing and
+ * TLS are not counted.
  */
 final class WireSize {
-    /** IPv4 (20), TCP (20) and the timestamp option (12). */
+    /** Headers of a segment: IPv4 (20), TCP (20) and the timestamp option (12). */
     static final int SEGMENT_HEADER_BYTES = 52;
-    /** As HEADERS, with the further options of a connection's first two segments. */
+    /** Size of a SYN or SYN-ACK segment: the headers with further TCP options. */
     static final int SYN_SEGMENT_BYTES = 60;
-    /** Payload of a full segment on links of 1,500 bytes. */
+    /** Payload of a full segment with an MTU of 1,500 bytes. */
     static final int MAX_SEGMENT_PAYLOAD_BYTES = 1448;
-    /** The opener's segments over a connection's life, besides data: SYN, ACK, FIN, ACK. */
+    /** Segments without data that the initiator of a connection sends: SYN, ACK, FIN, ACK. */
     static final int INITIATOR_OVERHEAD_BYTES = SYN_SEGMENT_BYTES + 3 * SEGMENT_HEADER_BYTES;
-    /** The other side's: SYN-ACK, ACK, FIN. */
+    /** Segments without data that the acceptor of a connection sends: SYN-ACK, ACK, FIN. */
     static final int ACCEPTOR_OVERHEAD_BYTES = SYN_SEGMENT_BYTES + 2 * SEGMENT_HEADER_BYTES;
 
     private WireSize() {
     }
 
-    /** A message of so many bytes of HTTP with the headers of its segments. */
+    /** Returns the bytes on the wire of a message with this many bytes of HTTP, including segment headers. */
     static int dataBytes(int httpBytes) {
         return httpBytes + SEGMENT_HEADER_BYTES * segmentCount(httpBytes);
     }
 
-    /** The receiver's acknowledgements of such a message. */
+    /** Returns the bytes of the receiver's separate acknowledgements of such a message. */
     static int acknowledgementBytes(int httpBytes, boolean responseFollows) {
         int segments = segmentCount(httpBytes);
         return SEGMENT_HEADER_BYTES * (responseFollows ? segments / 2 : (segments + 1) / 2);
--- a/lab/src/main/java/hookweir/lab/scale/package-info.java
+++ b/lab/src/main/java/hookweir/lab/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The scale run: hollow workers and schedulers on one virtual clock, each scheduler with a decision module of its own, and what their
- * messages come to on the wire. {@link hookweir.lab.scale.World} puts a run together, {@link hookweir.lab.scale.Row} is its result.
+ * Discrete-event simulation of a large fleet: simulated workers and schedulers share one virtual clock, and each scheduler runs its own
+ * instance of the real decision module. Counts the messages and bytes on the wire. {@link hookweir.lab.scale.Simulation} runs one
+ * simulation, {@link hookweir.lab.scale.Row} is its result.
  */
 package hookweir.lab.scale;
--- a/lab/src/test/java/hookweir/lab/scale/ConnectionPoolTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/ConnectionPoolTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The hollow scheduler's connections: reuse, rest, end and bound. */
+/** The connection pool of a simulated scheduler: reuse, reuse delay, idle timeout and the limit on open connections. */
 class ConnectionPoolTest {
     private static final int DESCRIPTORS = 100;
     private static final long SECOND_US = 1_000_000;
@@ -28,8 +28,8 @@
         resourceBudget.setMaxDescriptors(DESCRIPTORS);
     }
 
-    private ConnectionPool.Connection acquire(SimulatedWorker from) {
-        pool.acquire(from, MessageKind.PROBE_CONNECTION, acquired::add);
+    private ConnectionPool.Connection acquire(SimulatedWorker to) {
+        pool.acquire(to, MessageKind.PROBE_CONNECTION, acquired::add);
         queue.runUntil(queue.nowUs() + SECOND_US);
         return acquired.get(acquired.size() - 1);
     }
@@ -53,11 +53,11 @@
     void waitsForADelayedConnection() {
         ConnectionPool.Connection first = acquire(worker);
         pool.release(first, ConnectionPool.REUSE_DELAY_US);
-        long from = queue.nowUs();
-        long[] at = new long[1];
-        pool.acquire(worker, MessageKind.PROBE_CONNECTION, link -> at[0] = queue.nowUs());
-        queue.runUntil(from + SECOND_US);
-        assertEquals(from + ConnectionPool.REUSE_DELAY_US, at[0]);
+        long startUs = queue.nowUs();
+        long[] acquiredAtUs = new long[1];
+        pool.acquire(worker, MessageKind.PROBE_CONNECTION, connection -> acquiredAtUs[0] = queue.nowUs());
+        queue.runUntil(startUs + SECOND_US);
+        assertEquals(startUs + ConnectionPool.REUSE_DELAY_US, acquiredAtUs[0]);
         assertEquals(1, openedConnections());
     }
 
@@ -87,6 +87,6 @@
         }
         queue.runUntil(queue.nowUs() + SECOND_US);
         assertTrue(pool.openCount() <= DESCRIPTORS * ResourceBudget.MAX_WORKER_CONNECTION_SHARE, "open " + pool.openCount());
-        assertTrue(acquired.contains(null), "those beyond the share get none");
+        assertTrue(acquired.contains(null), "no connection beyond the share");
     }
 }
--- a/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** The command's options. */
+/** The option checks and the help text of the scale command. */
 class ScaleCommandTest {
     @ParameterizedTest
     @CsvSource({"--workers,0", "--schedulers,1001", "--rate,0", "--rate,NaN", "--service-ms,0", "--full,1", "--restarts,-1", "--changes,-1", "--seconds,2"})
--- a/lab/src/test/java/hookweir/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/ScaleRunTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A small scale run: what it counts, and that a wrong mechanism is seen. */
+/** Runs small simulations: checks the counted traffic, and that a wrong probe mechanism is detected. */
 class ScaleRunTest {
     private static final int SCHEDULERS = 6;
-    /** A call is counted as its request and its answer. */
+    /** A call is counted as two messages, its request and its response. */
     private static final int MESSAGES_PER_CALL = 2;
     private static final int SECONDS = 30;
 
@@ -43,7 +43,7 @@
         Row row = new Simulation(Shape.target().withSize(workers, 2, 1).withLoad(500, 0).withChangeRates(0, 0).withDuration(10, 20)).run();
         assertTrue(row.jobs() > 20, row.jobs() + " jobs");
         assertEquals(0, row.failedPerJob() + row.lostPerJob());
-        assertTrue(row.withinProbeLimit(), row.probesPerS() + " probes a second");
+        assertTrue(row.withinProbeLimit(), row.probesPerS() + " probes per second");
         assertEquals(2 * MESSAGES_PER_CALL, new Simulation(row.shape().withDuration(0, 10)).run().traffic().get("list_service").get("whole_list").messages());
     }
 
@@ -70,7 +70,7 @@
     void failedRackIsOneListChangePerScheduler() {
         Row row = new Simulation(small().withChangeRates(0, 0).with(Shape.Failure.RACK)).run();
         assertEquals(SCHEDULERS, tally(row, Role.LIST_SERVICE, MessageKind.LIST_CHANGE).messages());
-        assertTrue(row.refusedPerJob() > 0, "jobs that were on silent workers end by their deadline");
+        assertTrue(row.refusedPerJob() > 0, "jobs on unresponsive workers should end by their deadline");
     }
 
     @Test
@@ -84,14 +84,14 @@
         Row row = new Simulation(small().withChangeRates(0, 0)).run();
         long responses = tally(row, Role.CLIENT, MessageKind.CLIENT).messages() - row.jobs();
         long maxRunning = SCHEDULERS * 2 * 5;
-        assertTrue(Math.abs(responses - row.jobs()) <= maxRunning, row.jobs() + " jobs, " + responses + " answers");
+        assertTrue(Math.abs(responses - row.jobs()) <= maxRunning, row.jobs() + " jobs, " + responses + " responses");
         assertEquals(0, row.lostPerJob() + row.refusedPerJob() + row.failedPerJob());
     }
 
     @Test
     void configurationTakesEffectWithinOnePollInterval() {
         Row row = new Simulation(small().withChangeRates(0, 600)).run();
-        assertTrue(row.inForceMaxS() > 0 && row.inForceMaxS() <= 10.001, "in force after " + row.inForceMaxS());
+        assertTrue(row.inForceMaxS() > 0 && row.inForceMaxS() <= 10.001, "applied after " + row.inForceMaxS());
     }
 
     @Test
@@ -102,9 +102,9 @@
 
     @Test
     void targetShapeHasTheExpectedSlotsAndJobRate() {
-        Simulation world = new Simulation(Shape.target());
+        Simulation simulation = new Simulation(Shape.target());
         Map<Integer, Integer> slots = new java.util.TreeMap<>();
-        world.workers.forEach(worker -> slots.merge(worker.kind, worker.slots, Integer::sum));
+        simulation.workers.forEach(worker -> slots.merge(worker.kind, worker.slots, Integer::sum));
         assertEquals(Map.of(0, 4800, 1, 1500), slots);
         assertEquals(440, Shape.target().schedulers() * Shape.target().jobsPerSecond(), 1e-9);
     }
--- a/lab/src/test/java/hookweir/lab/scale/WireSizeTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/WireSizeTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The rule by which bytes of HTTP become bytes on the wire. */
+/** The estimate of bytes on the wire from bytes of HTTP. */
 class WireSizeTest {
     @Test
     void countsHeadersOfEachSegment() {
