--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -39,13 +39,13 @@
         private int workers;
 
         private Policy policy;
-        private long now = 1_000_000;
-        private int id;
-        private int sentTo;
+        private long nowUs = 1_000_000;
+        private int nextRequestId;
+        private int chosenWorker;
 
         /** Fills the list. */
         @Setup(Level.Trial)
-        public void fill() {
+        public void setUp() {
             Contract.Settings settings = new Contract.Settings();
             settings.classes.add(new Contract.RequestClass());
             settings.maxAttempts = 3;
@@ -56,22 +56,22 @@
                 w.id = i;
                 list.add(w);
             }
-            policy.workerListReceived(now, false, list);
+            policy.workerListReceived(nowUs, false, list);
         }
 
         @Override
         public void send(int requestId, int workerId, long withinUs) {
-            sentTo = workerId;
+            chosenWorker = workerId;
         }
 
         @Override
         public void reject(int requestId, long comeBackUs) {
-            sentTo = -1;
+            chosenWorker = -1;
         }
 
         @Override
         public void fail(int requestId) {
-            sentTo = -1;
+            chosenWorker = -1;
         }
 
         @Override
@@ -119,14 +119,14 @@
     @Benchmark
     public int job(Module m) {
         Contract.Request r = new Contract.Request();
-        r.id = m.id++;
-        m.now += 200;
-        r.deadlineAtUs = m.now + 1_000_000;
-        m.policy.requestAccepted(m.now, r);
-        if (m.sentTo >= 0) {
-            m.policy.attemptEnded(m.now + 100, r.id, 0, m.sentTo, Contract.Outcome.OK, 100, true, null);
+        r.id = m.nextRequestId++;
+        m.nowUs += 200;
+        r.deadlineAtUs = m.nowUs + 1_000_000;
+        m.policy.requestAccepted(m.nowUs, r);
+        if (m.chosenWorker >= 0) {
+            m.policy.attemptEnded(m.nowUs + 100, r.id, 0, m.chosenWorker, Contract.Outcome.OK, 100, true, null);
         }
-        return m.sentTo;
+        return m.chosenWorker;
     }
 
     /** A report in a header. */
--- a/bench/src/main/java/hookweir/bench/IndexedHeap.java
+++ b/bench/src/main/java/hookweir/bench/IndexedHeap.java
@@ -11,7 +11,7 @@
     static final class Timer {
         private final long atUs;
         private Runnable task;
-        private int at;
+        private int index;
 
         private Timer(long atUs, Runnable task) {
             this.atUs = atUs;
@@ -19,28 +19,28 @@
         }
     }
 
-    Timer set(long atUs, Runnable task) {
+    Timer schedule(long atUs, Runnable task) {
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
         Timer t = new Timer(atUs, task);
-        put(t, size++);
-        up(t);
+        place(t, size++);
+        siftUp(t);
         return t;
     }
 
     void cancel(Timer t) {
-        if (t.at < 0) {
+        if (t.index < 0) {
             return;
         }
         Timer moved = heap[--size];
         heap[size] = null;
         if (moved != t) {
-            put(moved, t.at);
-            up(moved);
-            down(moved);
+            place(moved, t.index);
+            siftUp(moved);
+            siftDown(moved);
         }
-        t.at = -1;
+        t.index = -1;
         t.task = null;
     }
 
@@ -54,20 +54,20 @@
         return task;
     }
 
-    private void put(Timer t, int at) {
+    private void place(Timer t, int at) {
         heap[at] = t;
-        t.at = at;
+        t.index = at;
     }
 
-    private void up(Timer t) {
-        while (t.at > 0 && heap[(t.at - 1) / 2].atUs > t.atUs) {
-            swap(t, heap[(t.at - 1) / 2]);
+    private void siftUp(Timer t) {
+        while (t.index > 0 && heap[(t.index - 1) / 2].atUs > t.atUs) {
+            swap(t, heap[(t.index - 1) / 2]);
         }
     }
 
-    private void down(Timer t) {
-        while (2 * t.at + 1 < size) {
-            int child = 2 * t.at + 1;
+    private void siftDown(Timer t) {
+        while (2 * t.index + 1 < size) {
+            int child = 2 * t.index + 1;
             if (child + 1 < size && heap[child + 1].atUs < heap[child].atUs) {
                 child++;
             }
@@ -79,8 +79,8 @@
     }
 
     private void swap(Timer a, Timer b) {
-        int at = a.at;
-        put(a, b.at);
-        put(b, at);
+        int at = a.index;
+        place(a, b.index);
+        place(b, at);
     }
 }
--- a/bench/src/main/java/hookweir/bench/TimersBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/TimersBenchmark.java
@@ -26,7 +26,7 @@
 @Fork(value = 1, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx256m"})
 public class TimersBenchmark {
     private static final Runnable NOTHING = () -> { };
-    private static final int SPREAD_US = 25_000_000;
+    private static final int DELAY_RANGE_US = 25_000_000;
 
     @Param({"1000", "100000"})
     private int live;
@@ -35,59 +35,59 @@
     private long nowUs;
     private int next;
     private TimerWheel wheel;
-    private TimerWheel.Timer[] inWheel;
+    private TimerWheel.Timer[] wheelTimers;
     private IndexedHeap heap;
-    private IndexedHeap.Timer[] inHeap;
+    private IndexedHeap.Timer[] heapTimers;
     private DeadlineTimerWheel agrona;
-    private long[] inAgrona;
+    private long[] agronaTimers;
 
     /** Fills all of them alike. */
     @Setup(Level.Trial)
-    public void fill() {
+    public void setUp() {
         wheel = new TimerWheel(0);
         heap = new IndexedHeap();
         agrona = new DeadlineTimerWheel(TimeUnit.MICROSECONDS, 0, 1 << 10, 1 << 13);
-        inWheel = new TimerWheel.Timer[live];
-        inHeap = new IndexedHeap.Timer[live];
-        inAgrona = new long[live];
+        wheelTimers = new TimerWheel.Timer[live];
+        heapTimers = new IndexedHeap.Timer[live];
+        agronaTimers = new long[live];
         for (int i = 0; i < live; i++) {
-            long at = SPREAD_US / 2 + random.nextInt(SPREAD_US);
-            inWheel[i] = wheel.schedule(at, NOTHING);
-            inHeap[i] = heap.set(at, NOTHING);
-            inAgrona[i] = agrona.scheduleTimer(at);
+            long at = DELAY_RANGE_US / 2 + random.nextInt(DELAY_RANGE_US);
+            wheelTimers[i] = wheel.schedule(at, NOTHING);
+            heapTimers[i] = heap.schedule(at, NOTHING);
+            agronaTimers[i] = agrona.scheduleTimer(at);
         }
     }
 
-    private long step() {
+    private long advance() {
         nowUs += 100;
         next = next + 1 == live ? 0 : next + 1;
-        return nowUs + SPREAD_US / 2 + random.nextInt(SPREAD_US);
+        return nowUs + DELAY_RANGE_US / 2 + random.nextInt(DELAY_RANGE_US);
     }
 
     /** The hashed wheel of the product. */
     @Benchmark
     public Runnable wheel() {
-        long at = step();
-        inWheel[next].cancel();
-        inWheel[next] = wheel.schedule(at, NOTHING);
+        long at = advance();
+        wheelTimers[next].cancel();
+        wheelTimers[next] = wheel.schedule(at, NOTHING);
         return wheel.poll(nowUs);
     }
 
     /** An indexed heap. */
     @Benchmark
     public Runnable heap() {
-        long at = step();
-        heap.cancel(inHeap[next]);
-        inHeap[next] = heap.set(at, NOTHING);
+        long at = advance();
+        heap.cancel(heapTimers[next]);
+        heapTimers[next] = heap.schedule(at, NOTHING);
         return heap.poll(nowUs);
     }
 
     /** Agrona's wheel, without the map from its numbers to tasks that a user would need beside it. */
     @Benchmark
     public int agrona() {
-        long at = step();
-        agrona.cancelTimer(inAgrona[next]);
-        inAgrona[next] = agrona.scheduleTimer(at);
+        long at = advance();
+        agrona.cancelTimer(agronaTimers[next]);
+        agronaTimers[next] = agrona.scheduleTimer(at);
         return agrona.poll(nowUs, (unit, now, id) -> true, 16);
     }
 }
--- a/lab/src/main/java/hookweir/lab/LoadCommand.java
+++ b/lab/src/main/java/hookweir/lab/LoadCommand.java
@@ -1,6 +1,6 @@
 package hookweir.lab;
 
-import hookweir.lab.load.Bench;
+import hookweir.lab.load.LoadTestHarness;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Locale;
@@ -18,37 +18,37 @@
     @Option(name = "--service-ms", usage = "how long each job takes")
     protected int serviceMs;
     @Option(name = "--body", usage = "bytes of a job's body")
-    protected int body = 4;
+    protected int bodyBytes = 4;
     @Option(name = "--result", usage = "bytes of a job's result")
-    protected int result = 2;
+    protected int resultBytes = 2;
     @Option(name = "--deadline-ms", usage = "how long clients wait")
     protected long deadlineMs = 5000;
     @Option(name = "--sockets", usage = "limits.sockets of the scheduler")
-    protected int sockets = 1024;
+    protected int maxSockets = 1024;
     @Option(name = "--via", usage = "how workers report their load: pull, by probes all the time, or silent, without")
-    protected String via = "pull";
+    protected String loadReporting = "pull";
     @Option(name = "--flags", usage = "further flags of the scheduler's JVM")
-    protected String flags = "";
+    protected String jvmFlags = "";
 
     @Option(name = "--fresh-calls", usage = "each call-back of a worker goes on a connection of its own")
-    protected boolean freshCalls;
+    protected boolean freshCallbackConnections;
     @Option(name = "--record", metaVar = "FILE", usage = "writes a history of all that clients and stand-ins see, and judges it by the rules")
-    protected Path record;
+    protected Path historyFile;
 
     /** How long call-backs took, from a job's end to the answer to its call. */
-    protected static String calls(Bench bench) {
-        Histogram h = bench.fleet().calls();
+    protected static String formatCallbackLatency(LoadTestHarness bench) {
+        Histogram h = bench.stubWorkers().callbackLatencyUs();
         return String.format(Locale.ROOT, "call-backs %d: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, longest %.2f ms", h.getTotalCount(),
             h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, h.getMaxValue() / 1e3);
     }
 
     /** The scheduler with its stand-ins, started. */
-    protected final Bench bench() throws IOException, InterruptedException {
-        return bench(root, workers);
+    protected final LoadTestHarness startHarness() throws IOException, InterruptedException {
+        return startHarness(root, workers);
     }
 
     /** The same with the scheduler of that folder and so many stand-ins. */
-    protected final Bench bench(String ofRoot, int ofWorkers) throws IOException, InterruptedException {
-        return new Bench(new Bench.Setting(ofRoot, cpu, ofWorkers, serviceMs, result, deadlineMs / 2, sockets, via, flags, freshCalls, record));
+    protected final LoadTestHarness startHarness(String ofRoot, int ofWorkers) throws IOException, InterruptedException {
+        return new LoadTestHarness(new LoadTestHarness.Config(ofRoot, cpu, ofWorkers, serviceMs, resultBytes, deadlineMs / 2, maxSockets, loadReporting, jvmFlags, freshCallbackConnections, historyFile));
     }
 }
--- a/lab/src/main/java/hookweir/lab/Main.java
+++ b/lab/src/main/java/hookweir/lab/Main.java
@@ -12,7 +12,7 @@
 
 /** The lab's command line. */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int USAGE_EXIT_STATUS = 2;
 
     /** A sub-command. */
     public abstract static class Command {
@@ -23,7 +23,7 @@
         protected abstract int run() throws IOException, InterruptedException;
 
         /** What it does, and an example of it. */
-        protected abstract String what();
+        protected abstract String description();
     }
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class,
@@ -43,7 +43,7 @@
         @SubCommand(name = "two-lives", impl = hookweir.lab.lives.StopAndRestart.class),
         @SubCommand(name = "random-stops", impl = hookweir.lab.lives.RandomStops.class),
         @SubCommand(name = "soak", impl = hookweir.lab.lives.Soak.class),
-        @SubCommand(name = "trace-inspect", impl = hookweir.lab.trace.Inspect.class),
+        @SubCommand(name = "trace-inspect", impl = hookweir.lab.trace.TraceInspectCommand.class),
         @SubCommand(name = "scale", impl = hookweir.lab.scale.ScaleCommand.class)})
     private Command command;
 
@@ -62,7 +62,7 @@
             if (main.help) {
                 parser.printUsage(System.out);
             } else if (main.command.help) {
-                System.out.println(main.command.what());
+                System.out.println(main.command.description());
                 parser(main.command).printUsage(System.out);
             } else {
                 System.exit(main.command.run());
@@ -70,7 +70,7 @@
         } catch (CmdLineException e) {
             System.err.println("hookweir-lab: " + e.getMessage());
             parser.printUsage(System.err);
-            System.exit(USAGE);
+            System.exit(USAGE_EXIT_STATUS);
         } catch (IOException e) {
             System.err.println("hookweir-lab: " + e.getMessage());
             System.exit(1);
--- a/lab/src/main/java/hookweir/lab/Saturate.java
+++ b/lab/src/main/java/hookweir/lab/Saturate.java
@@ -1,7 +1,7 @@
 package hookweir.lab;
 
-import hookweir.lab.load.Bench;
-import hookweir.lab.load.Clients;
+import hookweir.lab.load.LoadGenerator;
+import hookweir.lab.load.LoadTestHarness;
 import hookweir.lab.report.LoadReport;
 import hookweir.lab.report.Step;
 import java.io.IOException;
@@ -20,12 +20,12 @@
     @Option(name = "--clients", usage = "client connections")
     private int connections = 64;
     @Option(name = "--out", usage = "the folder for the report")
-    private String out = "target/saturate";
+    private String outputFolder = "target/saturate";
     @Option(name = "--name", usage = "the report's name")
     private String name = "saturate";
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Minutes of full load on one scheduler, with its memory for each minute.\n"
             + "example: java -jar lab/target/hookweir-lab.jar saturate --minutes 10 --clients 900 --body 60000";
     }
@@ -33,24 +33,24 @@
     @Override
     protected int run() throws IOException, InterruptedException {
         List<Step> steps = new ArrayList<>();
-        System.out.println(Step.head());
+        System.out.println(Step.tableHeader());
         long unanswered;
         boolean kept;
-        try (Bench bench = bench()) {
-            Clients.Plan plan = new Clients.Plan(connections, 0, body, deadlineMs, "job");
-            Clients c = bench.begin(plan);
+        try (LoadTestHarness bench = startHarness()) {
+            LoadGenerator.Workload plan = new LoadGenerator.Workload(connections, 0, bodyBytes, deadlineMs, "job");
+            LoadGenerator c = bench.startGenerator(plan);
             for (int i = 0; i * 1.0 < minutes; i++) {
-                steps.add(bench.next(c, plan, MINUTE_S * Math.min(1, minutes - i)));
+                steps.add(bench.measure(c, plan, MINUTE_S * Math.min(1, minutes - i)));
                 System.out.println(steps.get(i));
             }
-            unanswered = bench.end(c) + steps.stream().mapToLong(Step::failed).sum();
-            System.out.println("failed or without an answer " + unanswered + ", attempts twice " + bench.fleet().twice() + ", call-backs dropped "
-                + bench.fleet().dropped() + "\n" + bench.target().log() + "\n" + calls(bench));
-            kept = bench.judged();
+            unanswered = bench.stopGenerator(c) + steps.stream().mapToLong(Step::failed).sum();
+            System.out.println("failed or without an answer " + unanswered + ", attempts twice " + bench.stubWorkers().repeatedAttempts() + ", call-backs dropped "
+                + bench.stubWorkers().droppedCallbacks() + "\n" + bench.target().logTail() + "\n" + formatCallbackLatency(bench));
+            kept = bench.closeAndCheckHistory();
         }
-        LoadReport.json(Path.of(out), name, Map.of("clients", connections, "bodyBytes", body, "resultBytes", result, "deadlineMs", deadlineMs,
+        LoadReport.writeJson(Path.of(outputFolder), name, Map.of("clients", connections, "bodyBytes", bodyBytes, "resultBytes", resultBytes, "deadlineMs", deadlineMs,
             "serviceMs", serviceMs, "workers", workers, "unanswered", unanswered), steps);
-        LoadReport.minutes(Path.of(out), name, connections + " clients, bodies of " + body + " bytes, deadline " + deadlineMs + " ms", steps);
+        LoadReport.writeMemoryChart(Path.of(outputFolder), name, connections + " clients, bodies of " + bodyBytes + " bytes, deadline " + deadlineMs + " ms", steps);
         return kept ? 0 : 1;
     }
 }
--- a/lab/src/main/java/hookweir/lab/check/CheckHistory.java
+++ b/lab/src/main/java/hookweir/lab/check/CheckHistory.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Checks recorded histories against the safety rules.\n"
             + "  example: check-history target/history.jsonl";
     }
--- a/lab/src/main/java/hookweir/lab/check/MutateHistory.java
+++ b/lab/src/main/java/hookweir/lab/check/MutateHistory.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Inserts one rule violation at a time into histories without violations, and reports how many the checker detects.\n"
             + "  example: mutate-history target/history.jsonl";
     }
--- a/lab/src/main/java/hookweir/lab/lives/BlockingHttp.java
+++ b/lab/src/main/java/hookweir/lab/lives/BlockingHttp.java
@@ -52,6 +52,6 @@
     }
 
     static String header(String head, String name) {
-        return hookweir.lab.net.Peer.header(head, name);
+        return hookweir.lab.net.HttpConnection.header(head, name);
     }
 }
--- a/lab/src/main/java/hookweir/lab/lives/RandomStops.java
+++ b/lab/src/main/java/hookweir/lab/lives/RandomStops.java
@@ -4,11 +4,11 @@
 import hookweir.lab.check.Event;
 import hookweir.lab.check.HistoryReader;
 import hookweir.lab.check.RuleChecker;
-import hookweir.lab.load.Clients;
+import hookweir.lab.load.LoadGenerator;
 import hookweir.lab.net.Ports;
 import hookweir.lab.net.Reactor;
 import hookweir.lab.record.Recorder;
-import hookweir.lab.standin.Fleet;
+import hookweir.lab.standin.StubWorkers;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -86,10 +86,10 @@
         try (Recorder witness = new Recorder(history, Scenario.terms()); Reactor workers = new Reactor("workers");
                 Reactor clientReactor = new Reactor("clients");
                 ListeningSocketHolder socketHolder = kinds.contains(Stop.SUCCESSOR) ? new ListeningSocketHolder() : null) {
-            Fleet fleet = new Fleet(workers, WORKERS, 64, SERVICE_MS * 1_000_000L, 2, false, witness);
-            int port = socketHolder == null ? Ports.free() : socketHolder.port();
-            fleet.tells(Fleet.local(port));
-            Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.list(), fleet.servers()));
+            StubWorkers fleet = new StubWorkers(workers, WORKERS, 64, SERVICE_MS * 1_000_000L, 2, false, witness);
+            int port = socketHolder == null ? Ports.allocate() : socketHolder.port();
+            fleet.setScheduler(StubWorkers.loopbackAddress(port));
+            Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.serveWorkerList(), fleet.workerListJson()));
             stopRepeatedly(witness, clientReactor, socketHolder, folder, port, kinds, done);
             witness.finish();
             fault = witness.failure();
@@ -107,7 +107,7 @@
         boolean debugged = kinds.contains(Stop.ERROR);
         SchedulerProcess scheduler = SchedulerProcess.start(Path.of(root), folder, socketHolder, port, 1, debugged, witness);
         scheduler.awaitReady();
-        List<Clients> clients = List.of(startClients(clientReactor, port, "live-status", witness),
+        List<LoadGenerator> clients = List.of(startClients(clientReactor, port, "live-status", witness),
             startClients(clientReactor, port, "billing-post", witness));
         try {
             for (int i = 1; i <= stops; i++) {
@@ -125,10 +125,10 @@
                 if (stop == Stop.TERM) {
                     scheduler.terminate();
                     Thread.sleep(MIN_CONNECTING_AFTER_TERM_MS + random.nextInt(MIN_CONNECTING_AFTER_TERM_MS));
-                    clients.forEach(c -> c.connects(false));
+                    clients.forEach(c -> c.setConnectEnabled(false));
                     scheduler.awaitExit();
                 } else {
-                    clients.forEach(c -> c.resends(false));
+                    clients.forEach(c -> c.setResendEnabled(false));
                     if (stop == Stop.KILL) {
                         scheduler.kill();
                     } else {
@@ -138,13 +138,13 @@
                 scheduler = SchedulerProcess.start(Path.of(root), folder, socketHolder, port, i + 1, debugged, witness);
                 scheduler.awaitReady();
                 clients.forEach(c -> {
-                    c.resends(true);
-                    c.connects(true);
+                    c.setResendEnabled(true);
+                    c.setConnectEnabled(true);
                 });
             }
             long end = System.currentTimeMillis() + SETTLE_TIMEOUT_MS;
-            for (Clients c : clients) {
-                while (!c.ends() && System.currentTimeMillis() < end) {
+            for (LoadGenerator c : clients) {
+                while (!c.stop() && System.currentTimeMillis() < end) {
                     Thread.sleep(20);
                 }
             }
@@ -155,8 +155,8 @@
         }
     }
 
-    private Clients startClients(Reactor clientReactor, int port, String kind, Recorder witness) {
-        Clients c = new Clients(clientReactor, Fleet.local(port), new Clients.Plan(clientsPerClass, 0, 16, PausableClient.DEADLINE_MS, kind),
+    private LoadGenerator startClients(Reactor clientReactor, int port, String kind, Recorder witness) {
+        LoadGenerator c = new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(clientsPerClass, 0, 16, PausableClient.DEADLINE_MS, kind),
             kind.substring(0, 1) + "-", witness);
         c.start();
         return c;
@@ -198,7 +198,7 @@
     }
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Stops a scheduler under load at random times, restarts it each time, and checks the history of all its processes by the rules.\n"
             + "  example: random-stops --stops 500 --seed 1";
     }
--- a/lab/src/main/java/hookweir/lab/lives/Scenario.java
+++ b/lab/src/main/java/hookweir/lab/lives/Scenario.java
@@ -101,7 +101,7 @@
             this.folder = folder;
             this.witness = witness;
             this.socketHolder = socketHolder;
-            port = socketHolder == null ? Ports.free() : socketHolder.port();
+            port = socketHolder == null ? Ports.allocate() : socketHolder.port();
         }
 
         private SchedulerProcess startProcess(int number) throws IOException {
--- a/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
+++ b/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
@@ -2,10 +2,10 @@
 
 import hookweir.lab.check.Event;
 import hookweir.lab.check.Event.Type;
-import hookweir.lab.load.Target;
+import hookweir.lab.load.TargetProcess;
 import hookweir.lab.net.Ports;
 import hookweir.lab.record.EventSink;
-import hookweir.lab.standin.Fleet;
+import hookweir.lab.standin.StubWorkers;
 import java.io.File;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -23,7 +23,7 @@
 
 /** One scheduler process, started with the command 'run' of deploy/balancer.toml; records its start and its end in the history. */
 final class SchedulerProcess {
-    static final String SCHEDULER_NAME = Fleet.SCHEDULER;
+    static final String SCHEDULER_NAME = StubWorkers.SCHEDULER_NAME;
     /** The longest wait for a process to become ready or to write a log line. */
     private static final long STATE_TIMEOUT_MS = 30_000;
     private static final long EXIT_TIMEOUT_S = 20;
@@ -60,10 +60,10 @@
     /** As {@link #start(Path, Path, ListeningSocketHolder, int, int, boolean, EventSink)}, with additional environment variables. */
     static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged,
             EventSink witness, Map<String, String> extraEnvironment) throws IOException {
-        int debugPort = debugged ? Ports.free() : 0;
-        String command = debugged ? Target.runLine(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ") : Target.runLine(root);
+        int debugPort = debugged ? Ports.allocate() : 0;
+        String command = debugged ? TargetProcess.runCommand(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ") : TargetProcess.runCommand(root);
         Map<String, String> environment = new TreeMap<>(Map.of("RELAY_CONFIG", folder.resolve("config.json").toString(), "TMPDIR", folder.toString(),
-            "RELAY_LISTEN", "127.0.0.1:" + port, "RELAY_ADMIN_ADDR", "127.0.0.1:" + Ports.free()));
+            "RELAY_LISTEN", "127.0.0.1:" + port, "RELAY_ADMIN_ADDR", "127.0.0.1:" + Ports.allocate()));
         environment.putAll(extraEnvironment);
         Path log = folder.resolve("log" + number);
         ProcessHandle process;
--- a/lab/src/main/java/hookweir/lab/lives/Soak.java
+++ b/lab/src/main/java/hookweir/lab/lives/Soak.java
@@ -3,11 +3,11 @@
 import hookweir.lab.Main;
 import hookweir.lab.check.History;
 import hookweir.lab.check.RuleChecker;
-import hookweir.lab.load.Clients;
+import hookweir.lab.load.LoadGenerator;
 import hookweir.lab.net.Ports;
 import hookweir.lab.net.Reactor;
 import hookweir.lab.record.Recorder;
-import hookweir.lab.standin.Fleet;
+import hookweir.lab.standin.StubWorkers;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -94,8 +94,8 @@
         private final SoakPlan plan;
         private final Path folder;
         private final Recorder witness;
-        private final int port = Ports.free();
-        private final List<Clients> clients = new ArrayList<>();
+        private final int port = Ports.allocate();
+        private final List<LoadGenerator> clients = new ArrayList<>();
         private IdleConnections idleConnections;
 
         SeedRun(SoakPlan plan, Path folder, Recorder witness) throws IOException {
@@ -107,28 +107,28 @@
         void execute() throws IOException, InterruptedException {
             SchedulerProcess scheduler = null;
             try (Reactor workers = new Reactor("workers"); Reactor clientReactor = new Reactor("clients")) {
-                Fleet fleet = new Fleet(workers, WORKERS, SLOTS, plan.serviceMs() * 1_000_000L, 2, false, witness);
-                fleet.tells(Fleet.local(port));
-                Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.list(), fleet.servers()));
+                StubWorkers fleet = new StubWorkers(workers, WORKERS, SLOTS, plan.serviceMs() * 1_000_000L, 2, false, witness);
+                fleet.setScheduler(StubWorkers.loopbackAddress(port));
+                Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.serveWorkerList(), fleet.workerListJson()));
                 scheduler = start(1);
                 for (String kind : List.of("live-status", "billing-post")) {
-                    clients.add(new Clients(clientReactor, Fleet.local(port), new Clients.Plan(plan.clients(), 0, 16, PausableClient.DEADLINE_MS, kind),
+                    clients.add(new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(plan.clients(), 0, 16, PausableClient.DEADLINE_MS, kind),
                         kind.charAt(0) + "-", witness));
                 }
-                clients.forEach(Clients::start);
+                clients.forEach(LoadGenerator::start);
                 Thread.sleep(plan.loadMs());
                 idleConnections = new IdleConnections(port, plan.crowd());
                 for (int i = 0; i < plan.reloads(); i++) {
                     scheduler.signal("HUP");
                     Thread.sleep(plan.gapMs());
                 }
-                fleet.hangs(plan.hangs());
+                fleet.setHangJobs(plan.hangs());
                 stopScheduler(scheduler);
-                fleet.hangs(false);
+                fleet.setHangJobs(false);
                 scheduler = start(2);
                 clients.forEach(c -> {
-                    c.resends(true);
-                    c.connects(true);
+                    c.setResendEnabled(true);
+                    c.setConnectEnabled(true);
                 });
                 awaitClients();
                 scheduler.terminate();
@@ -154,7 +154,7 @@
             long termNs = System.nanoTime();
             scheduler.terminate();
             Thread.sleep(plan.frontMs());
-            clients.forEach(c -> c.connects(false));
+            clients.forEach(c -> c.setConnectEnabled(false));
             for (String signal : plan.signalsAfterTerm()) {
                 scheduler.signal(signal);
                 Thread.sleep(plan.gapMs());
@@ -162,7 +162,7 @@
             while (scheduler.isAlive() && System.nanoTime() - termNs < KILL_AFTER_MS * 1_000_000) {
                 Thread.sleep(POLL_MS);
             }
-            clients.forEach(c -> c.resends(false));
+            clients.forEach(c -> c.setResendEnabled(false));
             if (scheduler.isAlive()) {
                 scheduler.kill();
             } else {
@@ -173,8 +173,8 @@
 
         private void awaitClients() throws InterruptedException {
             long end = System.currentTimeMillis() + SETTLE_TIMEOUT_MS;
-            for (Clients c : clients) {
-                while (!c.ends() && System.currentTimeMillis() < end) {
+            for (LoadGenerator c : clients) {
+                while (!c.stop() && System.currentTimeMillis() < end) {
                     Thread.sleep(POLL_MS);
                 }
             }
@@ -182,7 +182,7 @@
     }
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Ends a scheduler under load by a series of signals, up to the earliest permitted SIGKILL, and checks the history by the rules.\n"
             + "  example: soak --first 1 --seeds 50";
     }
--- a/lab/src/main/java/hookweir/lab/lives/StopAndRestart.java
+++ b/lab/src/main/java/hookweir/lab/lives/StopAndRestart.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Stops the real scheduler at every point of its work in every way, restarts it, and checks the history of both processes by the rules.\n"
             + "  example: two-lives --seed 1 --side-by-side 4";
     }
--- a/lab/src/main/java/hookweir/lab/load/ClosedLoop.java
+++ b/lab/src/main/java/hookweir/lab/load/ClosedLoop.java
@@ -7,20 +7,20 @@
 
 /** Clients in a closed loop on one scheduler: as many jobs as they get through, and what those cost in connections to workers. */
 public final class ClosedLoop {
-    private static final double PER_CENT = 100;
+    private static final double PER_HUNDRED = 100;
 
     /**
      * What one span came to.
      *
      * @param step rates, times and costs
-     * @param dialsPer100 connections to workers whose first call was a job, for each 100 jobs
-     * @param probeDialsPer100 those whose first call was a probe, for each 100 jobs
+     * @param jobConnectionsPer100 connections to workers whose first call was a job, for each 100 jobs
+     * @param probeConnectionsPer100 those whose first call was a probe, for each 100 jobs
      */
-    public record Result(Step step, double dialsPer100, double probeDialsPer100) {
+    public record Result(Step step, double jobConnectionsPer100, double probeConnectionsPer100) {
     }
 
     /** One figure of several results, ascending. */
-    public static double[] sorted(List<Result> all, ToDoubleFunction<Result> figure) {
+    public static double[] sortedMetric(List<Result> all, ToDoubleFunction<Result> figure) {
         return all.stream().mapToDouble(figure).sorted().toArray();
     }
 
@@ -28,19 +28,19 @@
     }
 
     /** Loads the scheduler for so long, after a time to warm up that does not count. */
-    public static Result run(Bench bench, Clients.Plan plan, double warmSeconds, double seconds) throws IOException, InterruptedException {
-        Clients clients = bench.begin(plan);
+    public static Result run(LoadTestHarness bench, LoadGenerator.Workload plan, double warmSeconds, double seconds) throws IOException, InterruptedException {
+        LoadGenerator clients = bench.startGenerator(plan);
         Thread.sleep((long) (warmSeconds * 1000));
-        long dials = bench.fleet().dials();
-        long ofProbes = bench.fleet().probeDials();
-        Step step = bench.next(clients, plan, seconds);
-        dials = bench.fleet().dials() - dials;
-        ofProbes = bench.fleet().probeDials() - ofProbes;
-        long unanswered = bench.end(clients);
+        long dials = bench.stubWorkers().usedConnections();
+        long ofProbes = bench.stubWorkers().probeConnections();
+        Step step = bench.measure(clients, plan, seconds);
+        dials = bench.stubWorkers().usedConnections() - dials;
+        ofProbes = bench.stubWorkers().probeConnections() - ofProbes;
+        long unanswered = bench.stopGenerator(clients);
         if (unanswered > 0) {
             throw new IOException(unanswered + " jobs got no answer");
         }
         double jobs = Math.max(1, step.goodput() * seconds);
-        return new Result(step, PER_CENT * (dials - ofProbes) / jobs, PER_CENT * ofProbes / jobs);
+        return new Result(step, PER_HUNDRED * (dials - ofProbes) / jobs, PER_HUNDRED * ofProbes / jobs);
     }
 }
--- a/lab/src/main/java/hookweir/lab/load/Echo.java
+++ b/lab/src/main/java/hookweir/lab/load/Echo.java
@@ -20,7 +20,7 @@
  * could reach if it did nothing at all.
  */
 public final class Echo {
-    private static final byte[] ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     private Echo() {
     }
@@ -39,7 +39,7 @@
                 public NextAction handleRead(FilterChainContext ctx) {
                     Buffer in = ctx.getMessage();
                     in.tryDispose();
-                    ctx.write(Buffers.wrap(ctx.getMemoryManager(), ANSWER));
+                    ctx.write(Buffers.wrap(ctx.getMemoryManager(), RESPONSE));
                     return ctx.getStopAction();
                 }
             }).build())
--- a/lab/src/main/java/hookweir/lab/load/Target.java
+++ b/lab/src/main/java/hookweir/lab/load/TargetProcess.java
@@ -15,22 +15,22 @@
 import java.util.regex.Pattern;
 
 /** A process under load: a scheduler, started by the very line that operators use, or the echo that it is held against. */
-public final class Target implements AutoCloseable {
+public final class TargetProcess implements AutoCloseable {
     /** Attempts that a job may have by the configuration written here. */
     static final int MAX_ATTEMPTS = 3;
 
-    private static final long READY_MS = 20_000;
-    private static final double TICKS_PER_S = 100;
-    private static final Pattern PAUSE = Pattern.compile("(\\d+)([KM])->(\\d+)([KM])\\(");
+    private static final long READY_TIMEOUT_MS = 20_000;
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
+    private static final Pattern GC_PAUSE = Pattern.compile("(\\d+)([KM])->(\\d+)([KM])\\(");
 
     private final Process process;
     private final int port;
-    private final Path folder;
+    private final Path directory;
 
-    private Target(Process process, int port, Path folder) {
+    private TargetProcess(Process process, int port, Path folder) {
         this.process = process;
         this.port = port;
-        this.folder = folder;
+        this.directory = folder;
     }
 
     /**
@@ -43,38 +43,38 @@
      * @param via how workers report their load, as the configuration has it
      * @param flags further flags of the JVM, later ones win
      */
-    public static Target scheduler(Path root, int cpu, int listPort, long aimMs, int sockets, String via, String flags)
+    public static TargetProcess startScheduler(Path root, int cpu, int listPort, long aimMs, int sockets, String via, String flags)
             throws IOException, InterruptedException {
-        int port = Ports.free();
+        int port = Ports.allocate();
         Path folder = Files.createTempDirectory("hookweir-load");
         Path config = folder.resolve("config.json");
-        Files.writeString(config, config(port, listPort, aimMs, sockets, via));
-        String run = runLine(root).replace(" -jar ", " " + flags + " -Xlog:gc:file=" + folder.resolve("gc.log") + ":none -jar ");
-        return started(root, cpu, run, Map.of("RELAY_CONFIG", config.toString(), "TMPDIR", folder.toString()), port, folder);
+        Files.writeString(config, configJson(port, listPort, aimMs, sockets, via));
+        String run = runCommand(root).replace(" -jar ", " " + flags + " -Xlog:gc:file=" + folder.resolve("gc.log") + ":none -jar ");
+        return start(root, cpu, run, Map.of("RELAY_CONFIG", config.toString(), "TMPDIR", folder.toString()), port, folder);
     }
 
     /** The echo of {@link Echo} as a process of its own, with the scheduler's flags but no class data. */
-    public static Target echo(Path root, int cpu, Path jar) throws IOException, InterruptedException {
-        int port = Ports.free();
+    public static TargetProcess startEcho(Path root, int cpu, Path jar) throws IOException, InterruptedException {
+        int port = Ports.allocate();
         Path folder = Files.createTempDirectory("hookweir-echo");
         String run = "java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xms24m -Xmx48m -XX:MaxDirectMemorySize=16m -Xlog:gc:file="
             + folder.resolve("gc.log") + ":none -cp " + jar + " hookweir.lab.load.Echo " + port;
-        return started(root, cpu, run, Map.of(), port, folder);
+        return start(root, cpu, run, Map.of(), port, folder);
     }
 
-    private static Target started(Path root, int cpu, String run, Map<String, String> env, int port, Path folder)
+    private static TargetProcess start(Path root, int cpu, String run, Map<String, String> env, int port, Path folder)
             throws IOException, InterruptedException {
         String pinned = (cpu < 0 ? "" : "taskset -c " + cpu + " ") + run;
         ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", "exec " + pinned).directory(root.toFile());
         b.environment().putAll(env);
         b.redirectErrorStream(true).redirectOutput(new File(folder.toFile(), "log"));
-        Target t = new Target(b.start(), port, folder);
+        TargetProcess t = new TargetProcess(b.start(), port, folder);
         t.awaitReady();
         return t;
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        for (long end = System.currentTimeMillis() + READY_MS; System.currentTimeMillis() < end; Thread.sleep(20)) {
+        for (long end = System.currentTimeMillis() + READY_TIMEOUT_MS; System.currentTimeMillis() < end; Thread.sleep(20)) {
             if (!process.isAlive()) {
                 break;
             }
@@ -88,11 +88,11 @@
                 continue; // not yet there
             }
         }
-        throw new IOException("the process did not get ready: " + log());
+        throw new IOException("the process did not get ready: " + logTail());
     }
 
     /** What the line 'run' of deploy/balancer.toml executes. */
-    public static String runLine(Path root) throws IOException {
+    public static String runCommand(Path root) throws IOException {
         Matcher line = Pattern.compile("(?m)^run = \"exec (.*?)\"").matcher(Files.readString(root.resolve("deploy/balancer.toml")));
         if (!line.find()) {
             throw new IOException("deploy/balancer.toml: no line 'run = \"exec ...\"'");
@@ -100,7 +100,7 @@
         return line.group(1);
     }
 
-    private static String config(int port, int listPort, long aimMs, int sockets, String via) {
+    private static String configJson(int port, int listPort, long aimMs, int sockets, String via) {
         return ("{'name':'load','listen':'127.0.0.1:" + port + "','discovery':'127.0.0.1:" + listPort + "','seed':'1',"
             + "'limits':{'sockets':" + sockets + "},'settings':{'classes':[{'name':'job','aim_us':" + aimMs * 1000 + ",'deadline_us':"
             + 2 * aimMs * 1000 + ",'semantics':'read_like','key_scope':'all'}],'zones':['a'],'kinds':['m'],'discovery':'ask',"
@@ -114,10 +114,10 @@
     }
 
     /** Processor seconds that it used so far. */
-    public double cpuS() throws IOException {
+    public double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(f[11]) + Long.parseLong(f[12])) / TICKS_PER_S;
+        return (Long.parseLong(f[11]) + Long.parseLong(f[12])) / CLOCK_TICKS_PER_SECOND;
     }
 
     /** Resident bytes now. */
@@ -134,17 +134,17 @@
     public long allocatedBytes() throws IOException {
         long sum = 0;
         long after = 0;
-        for (String line : Files.readAllLines(folder.resolve("gc.log"))) {
-            Matcher m = PAUSE.matcher(line);
+        for (String line : Files.readAllLines(directory.resolve("gc.log"))) {
+            Matcher m = GC_PAUSE.matcher(line);
             if (m.find()) {
-                sum += bytes(m.group(1), m.group(2)) - after;
-                after = bytes(m.group(3), m.group(4));
+                sum += toBytes(m.group(1), m.group(2)) - after;
+                after = toBytes(m.group(3), m.group(4));
             }
         }
         return sum;
     }
 
-    private static long bytes(String n, String unit) {
+    private static long toBytes(String n, String unit) {
         return Long.parseLong(n) * (unit.equals("K") ? 1 << 10 : 1 << 20);
     }
 
@@ -159,8 +159,8 @@
     }
 
     /** The last lines that it wrote. */
-    public String log() throws IOException {
-        List<String> lines = Files.readAllLines(folder.resolve("log"), StandardCharsets.ISO_8859_1);
+    public String logTail() throws IOException {
+        List<String> lines = Files.readAllLines(directory.resolve("log"), StandardCharsets.ISO_8859_1);
         return String.join("\n", lines.subList(Math.max(0, lines.size() - 5), lines.size()));
     }
 
--- a/lab/src/main/java/hookweir/lab/net/Peer.java
+++ b/lab/src/main/java/hookweir/lab/net/HttpConnection.java
@@ -11,27 +11,27 @@
  * One connection of a stand-in or of a client: reads HTTP/1.1 messages that have a length, or none, and writes bytes.
  * Belongs to its {@link Reactor}'s thread.
  */
-public abstract class Peer {
+public abstract class HttpConnection {
     private static final byte[] HEAD_END = {'\r', '\n', '\r', '\n'};
 
     private SelectionKey key;
     private SocketChannel channel;
-    private byte[] in = new byte[1024];
-    private int got;
-    private ByteBuffer out = ByteBuffer.allocate(0);
+    private byte[] input = new byte[1024];
+    private int inputLength;
+    private ByteBuffer output = ByteBuffer.allocate(0);
     private boolean closed;
-    private boolean fresh;
+    private boolean newOutput;
 
     /** A whole message came: its head as text, and its body. */
-    protected abstract void message(String head, byte[] body);
+    protected abstract void onMessage(String head, byte[] body);
 
     /** What was given to write begins to leave now: the connection is up. */
-    protected void sending() {
+    protected void onSending() {
         // most don't mind
     }
 
     /** The connection is over, or never came up. */
-    protected abstract void ended();
+    protected abstract void onClosed();
 
     void attach(SelectionKey newKey, SocketChannel newChannel) {
         key = newKey;
@@ -40,13 +40,13 @@
 
     /** Writes the bytes after all before them. */
     public final void write(byte[] bytes) {
-        if (out.hasRemaining()) {
-            ByteBuffer more = ByteBuffer.allocate(out.remaining() + bytes.length);
-            out = more.put(out).put(bytes).flip();
+        if (output.hasRemaining()) {
+            ByteBuffer more = ByteBuffer.allocate(output.remaining() + bytes.length);
+            output = more.put(output).put(bytes).flip();
         } else {
-            out = ByteBuffer.wrap(bytes);
+            output = ByteBuffer.wrap(bytes);
         }
-        fresh = true;
+        newOutput = true;
         if (channel != null && channel.isConnected()) {
             flush();
         }
@@ -59,14 +59,14 @@
 
     final void flush() {
         try {
-            if (out.hasRemaining()) {
-                if (fresh) {
-                    fresh = false;
-                    sending();
+            if (output.hasRemaining()) {
+                if (newOutput) {
+                    newOutput = false;
+                    onSending();
                 }
-                channel.write(out);
+                channel.write(output);
             }
-            int ops = SelectionKey.OP_READ | (out.hasRemaining() ? SelectionKey.OP_WRITE : 0);
+            int ops = SelectionKey.OP_READ | (output.hasRemaining() ? SelectionKey.OP_WRITE : 0);
             if (key.interestOps() != ops) {
                 key.interestOps(ops);
             }
@@ -75,42 +75,42 @@
         }
     }
 
-    final void took(ByteBuffer bytes) {
+    final void receive(ByteBuffer bytes) {
         int n = bytes.remaining();
-        if (got + n > in.length) {
-            in = Arrays.copyOf(in, Math.max(2 * in.length, got + n));
+        if (inputLength + n > input.length) {
+            input = Arrays.copyOf(input, Math.max(2 * input.length, inputLength + n));
         }
-        bytes.get(in, got, n);
-        got += n;
+        bytes.get(input, inputLength, n);
+        inputLength += n;
         int from = 0;
         while (!closed) {
             int end = headEnd(from);
             if (end < 0) {
                 break;
             }
-            String head = new String(in, from, end - from, StandardCharsets.ISO_8859_1);
-            int length = length(head);
-            if (got - end < length) {
+            String head = new String(input, from, end - from, StandardCharsets.ISO_8859_1);
+            int length = contentLength(head);
+            if (inputLength - end < length) {
                 break;
             }
-            byte[] body = Arrays.copyOfRange(in, end, end + length);
+            byte[] body = Arrays.copyOfRange(input, end, end + length);
             from = end + length;
-            message(head, body);
+            onMessage(head, body);
         }
-        System.arraycopy(in, from, in, 0, got - from);
-        got -= from;
+        System.arraycopy(input, from, input, 0, inputLength - from);
+        inputLength -= from;
     }
 
     private int headEnd(int from) {
-        for (int i = from; i + HEAD_END.length <= got; i++) {
-            if (in[i] == '\r' && Arrays.equals(in, i, i + HEAD_END.length, HEAD_END, 0, HEAD_END.length)) {
+        for (int i = from; i + HEAD_END.length <= inputLength; i++) {
+            if (input[i] == '\r' && Arrays.equals(input, i, i + HEAD_END.length, HEAD_END, 0, HEAD_END.length)) {
                 return i + HEAD_END.length;
             }
         }
         return -1;
     }
 
-    private static int length(String head) {
+    private static int contentLength(String head) {
         String value = header(head, "Content-Length");
         return value == null ? 0 : Integer.parseInt(value);
     }
@@ -126,7 +126,7 @@
         return null;
     }
 
-    /** Ends the connection; {@link #ended} is called once. */
+    /** Ends the connection; {@link #onClosed} is called once. */
     public final void close() {
         if (!closed) {
             closed = true;
@@ -137,7 +137,7 @@
             } catch (IOException e) {
                 closed = true; // it is over either way
             }
-            ended();
+            onClosed();
         }
     }
 
--- a/lab/src/main/java/hookweir/lab/net/Ports.java
+++ b/lab/src/main/java/hookweir/lab/net/Ports.java
@@ -11,11 +11,11 @@
  * who asks for any while the process that is to have it is still starting, or dead for a moment.
  */
 public final class Ports {
-    static final int FIRST = 12_000;
-    static final int END = 32_000;
+    static final int FIRST_PORT = 12_000;
+    static final int END_PORT = 32_000;
 
     // Another process that asks here begins elsewhere; where the two meet, a port in use is passed over.
-    private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * 409 % (END - FIRST)));
+    private static final AtomicInteger NEXT_OFFSET = new AtomicInteger((int) (ProcessHandle.current().pid() * 409 % (END_PORT - FIRST_PORT)));
 
     private Ports() {
     }
@@ -25,15 +25,15 @@
      *
      * @throws IOException none is free
      */
-    public static int free() throws IOException {
-        for (int tries = 0; tries < END - FIRST; tries++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), END - FIRST);
+    public static int allocate() throws IOException {
+        for (int tries = 0; tries < END_PORT - FIRST_PORT; tries++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), END_PORT - FIRST_PORT);
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return free.getLocalPort();
             } catch (IOException e) {
                 continue; // somebody has it
             }
         }
-        throw new IOException("no loopback port from " + FIRST + " to " + END + " is free");
+        throw new IOException("no loopback port from " + FIRST_PORT + " to " + END_PORT + " is free");
     }
 }
--- a/lab/src/main/java/hookweir/lab/net/Reactor.java
+++ b/lab/src/main/java/hookweir/lab/net/Reactor.java
@@ -24,17 +24,17 @@
     private static final int READ_BYTES = 1 << 16;
 
     private final Selector selector;
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final ByteBuffer read = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private final Thread thread;
     private long timerCount;
     private volatile boolean stopped;
 
-    private record Timer(long atNs, long number, Runnable task) implements Comparable<Timer> {
+    private record Timer(long atNs, long sequence, Runnable task) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer o) {
-            return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(number, o.number);
+            return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(sequence, o.sequence);
         }
     }
 
@@ -48,17 +48,17 @@
 
     /** Runs the task on the thread. Any thread may call. */
     public void post(Runnable task) {
-        posted.add(task);
+        postedTasks.add(task);
         selector.wakeup();
     }
 
     /** Runs the task at that time of {@link System#nanoTime}. On the thread. */
-    public void at(long ns, Runnable task) {
+    public void schedule(long ns, Runnable task) {
         timers.add(new Timer(ns, timerCount++, task));
     }
 
     /** Listens on a free loopback port, or on that one; each connection gets a peer of its own. The port. */
-    public int listen(int port, Supplier<Peer> peers) throws IOException {
+    public int listen(int port, Supplier<HttpConnection> peers) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
@@ -73,8 +73,8 @@
         return ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** Connects the peer; it hears of it by {@link Peer#ended} where that fails. On the thread. */
-    public void connect(InetSocketAddress to, Peer peer) {
+    /** Connects the peer; it hears of it by {@link HttpConnection#onClosed} where that fails. On the thread. */
+    public void connect(InetSocketAddress to, HttpConnection peer) {
         try {
             SocketChannel c = SocketChannel.open();
             c.configureBlocking(false);
@@ -93,15 +93,15 @@
     private void run() {
         while (!stopped) {
             try {
-                turn();
+                runOnce();
             } catch (IOException e) {
                 throw new IllegalStateException("the selector failed", e);
             }
         }
     }
 
-    private void turn() throws IOException {
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
+    private void runOnce() throws IOException {
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
             task.run();
         }
         long now = System.nanoTime();
@@ -118,23 +118,23 @@
             SelectionKey key = it.next();
             it.remove();
             if (key.isValid()) {
-                ready(key);
+                handleReady(key);
             }
         }
     }
 
-    private void ready(SelectionKey key) throws IOException {
+    private void handleReady(SelectionKey key) throws IOException {
         if (key.isAcceptable()) {
             SocketChannel c = ((ServerSocketChannel) key.channel()).accept();
             if (c != null) {
                 c.configureBlocking(false);
                 c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                Peer peer = (Peer) ((Supplier<?>) key.attachment()).get();
+                HttpConnection peer = (HttpConnection) ((Supplier<?>) key.attachment()).get();
                 peer.attach(c.register(selector, SelectionKey.OP_READ, peer), c);
             }
             return;
         }
-        Peer peer = (Peer) key.attachment();
+        HttpConnection peer = (HttpConnection) key.attachment();
         try {
             if (key.isConnectable() && ((SocketChannel) key.channel()).finishConnect()) {
                 key.interestOps(SelectionKey.OP_READ);
@@ -144,12 +144,12 @@
                 peer.flush();
             }
             if (key.isValid() && key.isReadable()) {
-                read.clear();
-                int n = ((SocketChannel) key.channel()).read(read);
+                readBuffer.clear();
+                int n = ((SocketChannel) key.channel()).read(readBuffer);
                 if (n < 0) {
                     peer.close();
                 } else {
-                    peer.took(read.flip());
+                    peer.receive(readBuffer.flip());
                 }
             }
         } catch (IOException e) {
--- a/lab/src/main/java/hookweir/lab/report/LoadReport.java
+++ b/lab/src/main/java/hookweir/lab/report/LoadReport.java
@@ -15,26 +15,26 @@
 
 /** Keeps rows as JSON and as a chart. */
 public final class LoadReport {
-    private static final int WIDTH = 1000;
-    private static final int HEIGHT = 600;
+    private static final int WIDTH_PX = 1000;
+    private static final int HEIGHT_PX = 600;
 
     private LoadReport() {
     }
 
     /** Writes NAME.json: the rows with what was measured. */
-    public static void json(Path folder, String name, Map<String, ?> setting, List<Step> steps) throws IOException {
+    public static void writeJson(Path folder, String name, Map<String, ?> setting, List<Step> steps) throws IOException {
         Files.createDirectories(folder);
         new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
             .writeValue(folder.resolve(name + ".json").toFile(), Map.of("setting", setting, "steps", steps));
     }
 
     /** Writes NAME.png: latencies against the rate served. */
-    public static void latencies(Path folder, String name, String title, List<Step> measured) throws IOException {
+    public static void writeLatencyChart(Path folder, String name, String title, List<Step> measured) throws IOException {
         if (measured.isEmpty()) {
             return;
         }
         List<Step> steps = measured.stream().sorted(Comparator.comparingDouble(Step::goodput)).toList();
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("jobs served a second")
+        XYChart chart = new XYChartBuilder().width(WIDTH_PX).height(HEIGHT_PX).title(title).xAxisTitle("jobs served a second")
             .yAxisTitle("ms from the intended start").build();
         chart.getStyler().setYAxisLogarithmic(true).setLegendPosition(Styler.LegendPosition.InsideNW);
         double[] x = steps.stream().mapToDouble(Step::goodput).toArray();
@@ -45,8 +45,8 @@
     }
 
     /** Writes NAME.png: resident memory and rate over time, a row a minute. */
-    public static void minutes(Path folder, String name, String title, List<Step> steps) throws IOException {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("minute").yAxisTitle("resident MB").build();
+    public static void writeMemoryChart(Path folder, String name, String title, List<Step> steps) throws IOException {
+        XYChart chart = new XYChartBuilder().width(WIDTH_PX).height(HEIGHT_PX).title(title).xAxisTitle("minute").yAxisTitle("resident MB").build();
         double[] x = new double[steps.size()];
         for (int i = 0; i < x.length; i++) {
             x[i] = i + 1;
--- a/lab/src/main/java/hookweir/lab/report/Step.java
+++ b/lab/src/main/java/hookweir/lab/report/Step.java
@@ -1,6 +1,6 @@
 package hookweir.lab.report;
 
-import hookweir.lab.load.Clients;
+import hookweir.lab.load.LoadGenerator;
 import java.util.Locale;
 
 /**
@@ -23,18 +23,18 @@
     private static final double NS_PER_MS = 1e6;
 
     /** The row of what was seen in so many seconds. */
-    public static Step of(String target, double offered, double seconds, Clients.Seen seen, double cpuS, long residentBytes, long allocated,
+    public static Step of(String target, double offered, double seconds, LoadGenerator.Measurements seen, double cpuS, long residentBytes, long allocated,
             long probes) {
-        long answers = Math.max(1, seen.answered());
+        long answers = Math.max(1, seen.responseCount());
         return new Step(target, offered, seen.served.getTotalCount() / seconds, seen.served.getValueAtPercentile(50) / NS_PER_MS,
             seen.served.getValueAtPercentile(99) / NS_PER_MS, seen.served.getValueAtPercentile(99.9) / NS_PER_MS,
-            (double) seen.refused.getTotalCount() / answers, seen.failed + seen.unanswered,
-            seen.refused.getValueAtPercentile(99) / NS_PER_MS, cpuS * 1e6 / answers, residentBytes / 1048576.0,
+            (double) seen.rejected.getTotalCount() / answers, seen.failed + seen.unanswered,
+            seen.rejected.getValueAtPercentile(99) / NS_PER_MS, cpuS * 1e6 / answers, residentBytes / 1048576.0,
             allocated / 1024.0 / answers, probes / seconds);
     }
 
     /** The head of a table of rows. */
-    public static String head() {
+    public static String tableHeader() {
         return String.format("%-12s %9s %9s %8s %8s %8s %8s %7s %8s %8s %7s %8s %8s", "target", "offered", "served/s", "p50 ms", "p99 ms",
             "p99.9", "refused", "failed", "ref.p99", "cpu us", "rss MB", "alloc KB", "probes/s");
     }
--- a/lab/src/main/java/hookweir/lab/scale/RealRun.java
+++ b/lab/src/main/java/hookweir/lab/scale/RealRun.java
@@ -1,7 +1,7 @@
 package hookweir.lab.scale;
 
-import hookweir.lab.load.Bench;
-import hookweir.lab.load.Clients;
+import hookweir.lab.load.LoadGenerator;
+import hookweir.lab.load.LoadTestHarness;
 import hookweir.lab.report.Step;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -45,32 +45,32 @@
 
     static void run(Path root, int workers, double rate, int serviceMs, Path out) throws IOException, InterruptedException {
         long softDeadlineMs = Math.max(MIN_SOFT_DEADLINE_MS, (long) SOFT_DEADLINE_FACTOR * serviceMs);
-        Clients.Plan plan = new Clients.Plan(CLIENT_COUNT, rate, HttpMessages.JOB_BODY_BYTES, 2 * softDeadlineMs, REQUEST_CLASS);
+        LoadGenerator.Workload plan = new LoadGenerator.Workload(CLIENT_COUNT, rate, HttpMessages.JOB_BODY_BYTES, 2 * softDeadlineMs, REQUEST_CLASS);
         List<RealRow> rows = new ArrayList<>();
-        Bench.Setting setting = new Bench.Setting(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS,
+        LoadTestHarness.Config setting = new LoadTestHarness.Config(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS,
             "pull", "", false, null);
-        try (Bench bench = new Bench(setting)) {
-            Clients clients = bench.begin(plan);
+        try (LoadTestHarness bench = new LoadTestHarness(setting)) {
+            LoadGenerator clients = bench.startGenerator(plan);
             for (Span span : Span.values()) {
                 rows.add(measure(bench, clients, plan, span, workers));
                 System.out.println(rows.get(rows.size() - 1));
             }
-            bench.end(clients);
+            bench.stopGenerator(clients);
         }
         ScaleReport.writeJson(out, String.format(Locale.ROOT, "real-%d-%.4g", workers, rate), rows);
     }
 
-    private static RealRow measure(Bench bench, Clients clients, Clients.Plan plan, Span span, int workers) throws IOException, InterruptedException {
-        long connections = bench.fleet().connections();
-        long bytes = bench.fleet().probeBytes();
-        long probes = bench.fleet().probes();
-        double cpuS = bench.target().cpuS();
-        Step step = bench.next(clients, plan, span.seconds);
+    private static RealRow measure(LoadTestHarness bench, LoadGenerator clients, LoadGenerator.Workload plan, Span span, int workers) throws IOException, InterruptedException {
+        long connections = bench.stubWorkers().connections();
+        long bytes = bench.stubWorkers().probeBytes();
+        long probes = bench.stubWorkers().probes();
+        double cpuS = bench.target().cpuSeconds();
+        Step step = bench.measure(clients, plan, span.seconds);
         double seconds = span.seconds;
-        long newProbes = bench.fleet().probes() - probes;
-        return new RealRow(span.name().toLowerCase(Locale.ROOT), span.seconds, workers, plan.perSecond(), step.goodput(), newProbes / seconds,
-            (bench.fleet().connections() - connections) / Math.max(1, step.goodput() * seconds),
-            (bench.fleet().probeBytes() - bytes) / (double) Math.max(1, newProbes), PERCENT * (bench.target().cpuS() - cpuS) / seconds, step.residentMb(),
+        long newProbes = bench.stubWorkers().probes() - probes;
+        return new RealRow(span.name().toLowerCase(Locale.ROOT), span.seconds, workers, plan.jobsPerSecond(), step.goodput(), newProbes / seconds,
+            (bench.stubWorkers().connections() - connections) / Math.max(1, step.goodput() * seconds),
+            (bench.stubWorkers().probeBytes() - bytes) / (double) Math.max(1, newProbes), PERCENT * (bench.target().cpuSeconds() - cpuS) / seconds, step.residentMb(),
             step.refusedShare(), step.failed(), step.p50(), step.p99());
     }
 }
--- a/lab/src/main/java/hookweir/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/hookweir/lab/scale/ScaleCommand.java
@@ -43,7 +43,7 @@
     private Path out = Path.of("target/scale");
 
     @Override
-    protected String what() {
+    protected String description() {
         return "Simulates workers and schedulers with the real decision module in virtual time; reports messages and bytes of each role.\n"
             + "example: java -jar lab/target/hookweir-lab.jar scale --workers 1100 --schedulers 100 --rate 4.4 --failure RACK\n"
             + "example: java -jar lab/target/hookweir-lab.jar scale --sweep --out docs/capacity";
--- a/lab/src/main/java/hookweir/lab/standin/Fleet.java
+++ b/lab/src/main/java/hookweir/lab/standin/StubWorkers.java
@@ -2,7 +2,7 @@
 
 import hookweir.lab.check.Event;
 import hookweir.lab.check.Event.Type;
-import hookweir.lab.net.Peer;
+import hookweir.lab.net.HttpConnection;
 import hookweir.lab.net.Reactor;
 import hookweir.lab.record.Checksums;
 import hookweir.lab.record.EventSink;
@@ -24,36 +24,36 @@
  * Stand-in workers, each on a port of its own, that take every job and end it after a fixed time by a call-back, and the
  * list of them. They follow the protocol and check it: an attempt of a job that they hold or held counts as a breach.
  */
-public final class Fleet {
+public final class StubWorkers {
     private static final long HEARTBEAT_NS = 2_000_000_000L;
-    private static final int MOST_TRIES = 10;
-    private static final long AGAIN_NS = 100_000_000L;
+    private static final int MAX_CALLBACK_ATTEMPTS = 10;
+    private static final long CALLBACK_RETRY_DELAY_NS = 100_000_000L;
     /** The one scheduler round which they stand, as histories name it. */
-    public static final String SCHEDULER = "n1";
+    public static final String SCHEDULER_NAME = "n1";
 
-    private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
+    private static final String EMPTY_BODY = "Content-Length: 0\r\n\r\n";
 
     private final Reactor reactor;
     private final long serviceNs;
     private final byte[] result;
     private final int slots;
     private final List<Integer> ports = new ArrayList<>();
-    private final Deque<Caller> idle = new ArrayDeque<>();
-    private final Set<String> seen = new HashSet<>();
-    private final EventSink witness;
-    private final boolean freshCalls;
+    private final Deque<CallbackConnection> idleCallbackConnections = new ArrayDeque<>();
+    private final Set<String> receivedJobIds = new HashSet<>();
+    private final EventSink events;
+    private final boolean freshCallbackConnections;
     /** From a job's end to the answer to its call-back, in µs. */
-    private final Histogram calls = new ConcurrentHistogram(TimeUnit.MINUTES.toMicros(2), 3);
+    private final Histogram callbackLatencyUs = new ConcurrentHistogram(TimeUnit.MINUTES.toMicros(2), 3);
     private InetSocketAddress scheduler;
-    private volatile boolean hangs;
-    private volatile long begun;
+    private volatile boolean setHangJobs;
+    private volatile long jobsStarted;
     private volatile long probes;
     private volatile long probeBytes;
     private volatile long connections;
-    private volatile long dials;
-    private volatile long probeDials;
-    private volatile long twice;
-    private volatile long dropped;
+    private volatile long usedConnections;
+    private volatile long probeConnections;
+    private volatile long repeatedAttempts;
+    private volatile long droppedCallbacks;
 
     /**
      * So many workers, of so many slots in their reports.
@@ -63,10 +63,10 @@
      * @param freshCalls each call-back goes on a connection of its own, as some workers' libraries do
      * @param witness hears of all that they see
      */
-    public Fleet(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCalls, EventSink witness) throws IOException {
+    public StubWorkers(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCalls, EventSink witness) throws IOException {
         this.reactor = reactor;
-        this.witness = witness;
-        this.freshCalls = freshCalls;
+        this.events = witness;
+        this.freshCallbackConnections = freshCalls;
         this.serviceNs = serviceNs;
         this.slots = slots;
         result = "r".repeat(resultBytes).getBytes(StandardCharsets.US_ASCII);
@@ -74,7 +74,7 @@
             String name = String.format("s-%08x", i);
             int[] busy = new int[1];
             Set<String> had = new HashSet<>();
-            ports.add(reactor.listen(0, () -> new Worker(name, busy, had)));
+            ports.add(reactor.listen(0, () -> new WorkerConnection(name, busy, had)));
             if (witness.isEnabled()) {
                 witness.accept(Event.location(name, "a", 0));
             }
@@ -82,27 +82,27 @@
     }
 
     /** Serves the list of these workers; the port. */
-    public int list() throws IOException {
-        return reactor.listen(0, Watcher::new);
+    public int serveWorkerList() throws IOException {
+        return reactor.listen(0, ListConnection::new);
     }
 
     /** Where the ends of jobs are told. */
-    public void tells(InetSocketAddress newScheduler) {
+    public void setScheduler(InetSocketAddress newScheduler) {
         reactor.post(() -> {
             scheduler = newScheduler;
-            idle.clear();
-            seen.clear();
+            idleCallbackConnections.clear();
+            receivedJobIds.clear();
         });
     }
 
     /** While on, workers take jobs and never end them. Any thread. */
-    public void hangs(boolean on) {
-        hangs = on;
+    public void setHangJobs(boolean on) {
+        setHangJobs = on;
     }
 
     /** Jobs begun so far. */
-    public long begun() {
-        return begun;
+    public long jobsStarted() {
+        return jobsStarted;
     }
 
     /** Probes answered so far. */
@@ -121,32 +121,32 @@
     }
 
     /** Of the connections to workers, those whose first call was a probe or a notice. */
-    public long probeDials() {
-        return probeDials;
+    public long probeConnections() {
+        return probeConnections;
     }
 
     /** Connections to workers over which anything was called so far. */
-    public long dials() {
-        return dials;
+    public long usedConnections() {
+        return usedConnections;
     }
 
     /** Attempts of a job that some worker had already. */
-    public long twice() {
-        return twice;
+    public long repeatedAttempts() {
+        return repeatedAttempts;
     }
 
     /** From each job's end to the answer to its call-back, in µs. */
-    public Histogram calls() {
-        return calls;
+    public Histogram callbackLatencyUs() {
+        return callbackLatencyUs;
     }
 
     /** Call-backs that got no answer. */
-    public long dropped() {
-        return dropped;
+    public long droppedCallbacks() {
+        return droppedCallbacks;
     }
 
     /** The list of them, in discovery's form. */
-    public String servers() {
+    public String workerListJson() {
         StringBuilder out = new StringBuilder("{\"version\":1,\"full\":true,\"servers\":[");
         for (int i = 0; i < ports.size(); i++) {
             out.append(i == 0 ? "" : ",").append(String.format("{\"id\":\"s-%08x\",\"addr\":\"127.0.0.1:%d\",\"zone\":\"a\",\"kind\":\"m\","
@@ -155,155 +155,155 @@
         return out.append("]}\n").toString();
     }
 
-    private final class Worker extends Peer {
+    private final class WorkerConnection extends HttpConnection {
         private final String name;
-        private final int[] busy;
+        private final int[] busySlots;
         /** Ids that this worker got, where somebody writes them down. */
-        private final Set<String> had;
+        private final Set<String> receivedIds;
         private boolean counted;
 
-        Worker(String name, int[] busy, Set<String> had) {
+        WorkerConnection(String name, int[] busy, Set<String> had) {
             this.name = name;
-            this.busy = busy;
-            this.had = had;
+            this.busySlots = busy;
+            this.receivedIds = had;
             connections++;
         }
 
         @Override
-        protected void message(String head, byte[] body) {
+        protected void onMessage(String head, byte[] body) {
             if (!counted) {
                 counted = true;
-                probeDials += head.startsWith("POST ") ? 0 : 1;
-                dials++;
+                probeConnections += head.startsWith("POST ") ? 0 : 1;
+                usedConnections++;
             }
             if (head.startsWith("POST ")) {
-                begun++;
+                jobsStarted++;
                 String id = header(head, "Req-Id");
-                if (!seen.add(id)) {
-                    twice++;
+                if (!receivedJobIds.add(id)) {
+                    repeatedAttempts++;
                 }
-                if (witness.isEnabled()) {
-                    had.add(id);
-                    witness.accept(Event.of(Type.ATTEMPT, id, name, SCHEDULER).checksum(Checksums.forwarded(head, header(head, "Idempotency-Key"), body)));
+                if (events.isEnabled()) {
+                    receivedIds.add(id);
+                    events.accept(Event.of(Type.ATTEMPT, id, name, SCHEDULER_NAME).checksum(Checksums.forwarded(head, header(head, "Idempotency-Key"), body)));
                 }
-                busy[0]++;
-                write("HTTP/1.1 202 Accepted\r\n" + NO_BODY);
-                if (hangs) {
+                busySlots[0]++;
+                write("HTTP/1.1 202 Accepted\r\n" + EMPTY_BODY);
+                if (setHangJobs) {
                     return; // taken, and never ended
                 }
                 if (serviceNs == 0) {
-                    done(id);
+                    finishJob(id);
                 } else {
-                    reactor.at(System.nanoTime() + serviceNs, () -> done(id));
+                    reactor.schedule(System.nanoTime() + serviceNs, () -> finishJob(id));
                 }
             } else if (head.startsWith("GET ")) {
                 probes++;
                 probeBytes += head.length();
-                String report = "x0=" + Math.max(0, slots - busy[0]);
+                String report = "x0=" + Math.max(0, slots - busySlots[0]);
                 write("HTTP/1.1 200 OK\r\nContent-Length: " + report.length() + "\r\n\r\n" + report);
             } else {
                 String id = head.substring(head.indexOf("/jobs/") + 6, head.indexOf(' ', head.indexOf("/jobs/")));
-                if (witness.isEnabled() && had.contains(id)) {
-                    witness.accept(Event.of(Type.CANCEL, id, name, ""));
+                if (events.isEnabled() && receivedIds.contains(id)) {
+                    events.accept(Event.of(Type.CANCEL, id, name, ""));
                 }
-                write("HTTP/1.1 200 OK\r\n" + NO_BODY);
+                write("HTTP/1.1 200 OK\r\n" + EMPTY_BODY);
             }
         }
 
-        private void done(String id) {
-            busy[0]--;
-            if (witness.isEnabled()) {
-                witness.accept(Event.end(id, name, "done", Checksums.body(result)));
+        private void finishJob(String id) {
+            busySlots[0]--;
+            if (events.isEnabled()) {
+                events.accept(Event.end(id, name, "done", Checksums.body(result)));
             }
             String head = "{\"id\":\"" + id + "\",\"from\":\"" + name + "\",\"state\":\"done\",\"result\":\"";
-            Caller caller = freshCalls ? null : idle.pollFirst();
+            CallbackConnection caller = freshCallbackConnections ? null : idleCallbackConnections.pollFirst();
             while (caller != null && caller.isClosed()) {
-                caller = idle.pollFirst();
+                caller = idleCallbackConnections.pollFirst();
             }
             if (caller == null) {
-                caller = new Caller();
+                caller = new CallbackConnection();
                 reactor.connect(scheduler, caller);
             }
-            caller.begunNs = System.nanoTime();
-            caller.tell(id, name, head, result);
+            caller.jobEndNs = System.nanoTime();
+            caller.send(id, name, head, result);
         }
 
         @Override
-        protected void ended() {
+        protected void onClosed() {
             // its jobs end all the same, as real ones do
         }
     }
 
     /** A connection for call-backs. */
-    private final class Caller extends Peer {
-        private boolean calling;
-        private int tries;
-        private long begunNs;
+    private final class CallbackConnection extends HttpConnection {
+        private boolean awaitingResponse;
+        private int failedAttempts;
+        private long jobEndNs;
         private String id;
         private String worker;
         private String head;
-        private byte[] text;
+        private byte[] result;
 
-        void tell(String ofId, String ofWorker, String newHead, byte[] newText) {
+        void send(String ofId, String ofWorker, String newHead, byte[] newText) {
             id = ofId;
             worker = ofWorker;
             head = newHead;
-            text = newText;
-            calling = true;
-            write("POST /callback HTTP/1.1\r\nHost: s\r\nContent-Type: application/json\r\nContent-Length: " + (head.length() + text.length + 2)
-                + "\r\n\r\n" + head + new String(text, StandardCharsets.US_ASCII) + "\"}");
+            result = newText;
+            awaitingResponse = true;
+            write("POST /callback HTTP/1.1\r\nHost: s\r\nContent-Type: application/json\r\nContent-Length: " + (head.length() + result.length + 2)
+                + "\r\n\r\n" + head + new String(result, StandardCharsets.US_ASCII) + "\"}");
         }
 
         @Override
-        protected void message(String head, byte[] body) {
-            calling = false;
-            tries = 0;
-            if (witness.isEnabled()) {
-                witness.accept(Event.of(Type.CALL, id, worker, "").number(Integer.parseInt(head.substring(9, 12))));
+        protected void onMessage(String head, byte[] body) {
+            awaitingResponse = false;
+            failedAttempts = 0;
+            if (events.isEnabled()) {
+                events.accept(Event.of(Type.CALL, id, worker, "").number(Integer.parseInt(head.substring(9, 12))));
             }
-            calls.recordValue(Math.min(calls.getHighestTrackableValue(), (System.nanoTime() - begunNs) / 1000));
-            if (freshCalls || head.contains("onnection: close")) {
+            callbackLatencyUs.recordValue(Math.min(callbackLatencyUs.getHighestTrackableValue(), (System.nanoTime() - jobEndNs) / 1000));
+            if (freshCallbackConnections || head.contains("onnection: close")) {
                 close();
             } else {
-                idle.addFirst(this);
+                idleCallbackConnections.addFirst(this);
             }
         }
 
         @Override
-        protected void ended() {
-            if (calling && ++tries < MOST_TRIES) {
+        protected void onClosed() {
+            if (awaitingResponse && ++failedAttempts < MAX_CALLBACK_ATTEMPTS) {
                 // As the protocol has it: each call until it gets an answer, ten times at most.
-                Caller again = new Caller();
-                again.tries = tries;
-                again.begunNs = begunNs;
-                reactor.at(System.nanoTime() + AGAIN_NS, () -> {
+                CallbackConnection again = new CallbackConnection();
+                again.failedAttempts = failedAttempts;
+                again.jobEndNs = jobEndNs;
+                reactor.schedule(System.nanoTime() + CALLBACK_RETRY_DELAY_NS, () -> {
                     reactor.connect(scheduler, again);
-                    again.tell(id, worker, head, text);
+                    again.send(id, worker, head, result);
                 });
-            } else if (calling) {
-                dropped++;
+            } else if (awaitingResponse) {
+                droppedCallbacks++;
             }
         }
     }
 
     /** Somebody who asks for the list. */
-    private final class Watcher extends Peer {
+    private final class ListConnection extends HttpConnection {
         @Override
-        protected void message(String head, byte[] body) {
-            String whole = servers();
+        protected void onMessage(String head, byte[] body) {
+            String whole = workerListJson();
             if (head.contains("watch=1")) {
                 write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(whole));
-                beat();
+                scheduleHeartbeat();
             } else {
                 write("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
             }
         }
 
-        private void beat() {
-            reactor.at(System.nanoTime() + HEARTBEAT_NS, () -> {
+        private void scheduleHeartbeat() {
+            reactor.schedule(System.nanoTime() + HEARTBEAT_NS, () -> {
                 if (!isClosed()) {
                     write(chunk("\n"));
-                    beat();
+                    scheduleHeartbeat();
                 }
             });
         }
@@ -313,13 +313,13 @@
         }
 
         @Override
-        protected void ended() {
+        protected void onClosed() {
             // nothing is kept of it
         }
     }
 
     /** The loopback address with this port. */
-    public static InetSocketAddress local(int port) {
+    public static InetSocketAddress loopbackAddress(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Azure2021.java
+++ b/lab/src/main/java/hookweir/lab/trace/Azure2021.java
@@ -22,33 +22,33 @@
     }
 
     @Override
-    public void header(Fields names) throws IOException {
+    public void checkHeader(RowFields names) throws IOException {
         String[] want = HEADER.split(",");
         for (int i = 0; i < want.length; i++) {
-            if (!names.textOr(i, "").equals(want[i])) {
-                throw new BadTrace(names.place() + ": column " + (i + 1) + " is '" + names.textOr(i, "") + "', not '" + want[i] + "' as in " + name());
+            if (!names.textOrDefault(i, "").equals(want[i])) {
+                throw new InvalidTraceException(names.location() + ": column " + (i + 1) + " is '" + names.textOrDefault(i, "") + "', not '" + want[i] + "' as in " + name());
             }
         }
     }
 
     @Override
-    public boolean isShort(int columns) {
+    public boolean hasTooFewColumns(int columns) {
         return columns < COLUMNS;
     }
 
     @Override
-    public void row(Fields f, Tally tally, TraceJob.Sink to) throws IOException, Fields.Unusable {
+    public void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException {
         String function = f.text(0) + "/" + f.text(1);
-        long end = f.us(2, US_PER_S);
-        long duration = f.us(3, US_PER_S);
+        long end = f.micros(2, US_PER_S);
+        long duration = f.micros(3, US_PER_S);
         if (duration < 0 || end < 0) {
-            throw new Fields.Unusable(Skip.OUT_OF_RANGE);
+            throw new RowFields.UnusableRowException(SkipReason.OUT_OF_RANGE);
         }
         if (end - duration < 0) {
-            throw new Fields.Unusable(Skip.BEFORE_TRACE);
+            throw new RowFields.UnusableRowException(SkipReason.BEFORE_TRACE);
         }
         tally.used++;
-        tally.starts(end - duration);
-        to.job(new TraceJob(end - duration, tally.length(duration), Hashes.of(function), 0));
+        tally.recordStart(end - duration);
+        to.accept(new TraceJob(end - duration, tally.normalizeDuration(duration), Hashes.of(function), 0));
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Google2011.java
+++ b/lab/src/main/java/hookweir/lab/trace/Google2011.java
@@ -19,13 +19,13 @@
     private static final int SCHEDULE = 1;
 
     /** A run that has started. */
-    private record Open(long atUs, int priority, boolean late, String file, long line) {
-        String place() {
+    private record StartedRun(long startUs, int priority, boolean outOfOrder, String file, long line) {
+        String location() {
             return file + ":" + line;
         }
     }
 
-    private final LongObjectHashMap<Open> open = new LongObjectHashMap<>();
+    private final LongObjectHashMap<StartedRun> startedRuns = new LongObjectHashMap<>();
 
     @Override
     public String name() {
@@ -33,62 +33,62 @@
     }
 
     @Override
-    public boolean isShort(int columns) {
+    public boolean hasTooFewColumns(int columns) {
         return columns < COLUMNS;
     }
 
     @Override
-    public void row(Fields f, Tally tally, TraceJob.Sink to) throws IOException, Fields.Unusable {
-        long atUs = f.whole(TIME, 0);
-        long job = f.whole(JOB, 0);
-        long task = f.whole(TASK, 0);
-        long event = f.whole(EVENT, 0);
+    public void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException {
+        long atUs = f.wholeNumber(TIME, 0);
+        long job = f.wholeNumber(JOB, 0);
+        long task = f.wholeNumber(TASK, 0);
+        long event = f.wholeNumber(EVENT, 0);
         long key = Hashes.mix(job);
         long run = Hashes.mix(key ^ task);
         switch ((int) Math.min(event, 9)) {
             case 0, 7, 8 -> tally.ignored++; // SUBMIT, UPDATE_PENDING, UPDATE_RUNNING
             case SCHEDULE -> {
                 if (atUs == Long.MAX_VALUE) {
-                    throw new Fields.Unusable(Skip.AFTER_TRACE);
+                    throw new RowFields.UnusableRowException(SkipReason.AFTER_TRACE);
                 }
-                Open before = open.put(run, new Open(atUs, (int) Math.min(Integer.MAX_VALUE, priority(f)), tally.isLate(atUs), f.file(), f.line()));
+                StartedRun before = startedRuns.put(run, new StartedRun(atUs, (int) Math.min(Integer.MAX_VALUE, priority(f)), tally.isOutOfOrder(atUs), f.file(), f.line()));
                 if (before != null) {
-                    tally.skip(before.atUs == 0 ? Skip.BEFORE_TRACE : Skip.NO_END, before.place());
+                    tally.recordSkip(before.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, before.location());
                 }
             }
             case 2, 3, 4, 5, 6 -> { // EVICT, FAIL, FINISH, KILL, LOST
                 if (atUs == Long.MAX_VALUE) {
-                    throw new Fields.Unusable(Skip.AFTER_TRACE);
+                    throw new RowFields.UnusableRowException(SkipReason.AFTER_TRACE);
                 }
-                Open o = open.remove(run);
+                StartedRun o = startedRuns.remove(run);
                 if (o == null) {
-                    throw new Fields.Unusable(atUs == 0 ? Skip.BEFORE_TRACE : Skip.NO_START);
+                    throw new RowFields.UnusableRowException(atUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_START);
                 }
-                if (o.atUs == 0) {
-                    tally.skip(Skip.BEFORE_TRACE, o.place());
-                    throw new Fields.Unusable(Skip.BEFORE_TRACE);
+                if (o.startUs == 0) {
+                    tally.recordSkip(SkipReason.BEFORE_TRACE, o.location());
+                    throw new RowFields.UnusableRowException(SkipReason.BEFORE_TRACE);
                 }
-                if (atUs < o.atUs) {
-                    tally.skip(Skip.OUT_OF_RANGE, o.place());
-                    throw new Fields.Unusable(Skip.OUT_OF_RANGE);
+                if (atUs < o.startUs) {
+                    tally.recordSkip(SkipReason.OUT_OF_RANGE, o.location());
+                    throw new RowFields.UnusableRowException(SkipReason.OUT_OF_RANGE);
                 }
                 tally.used += 2; // its start and its end
-                tally.outOfOrder += o.late ? 1 : 0;
-                to.job(new TraceJob(o.atUs, tally.length(atUs - o.atUs), key, o.priority));
+                tally.outOfOrder += o.outOfOrder ? 1 : 0;
+                to.accept(new TraceJob(o.startUs, tally.normalizeDuration(atUs - o.startUs), key, o.priority));
             }
-            default -> throw new Fields.Unusable(Skip.UNKNOWN_EVENT);
+            default -> throw new RowFields.UnusableRowException(SkipReason.UNKNOWN_EVENT);
         }
     }
 
-    private static long priority(Fields f) throws Fields.Unusable {
-        return f.textOr(PRIORITY, "").isEmpty() ? 0 : f.whole(PRIORITY, 0);
+    private static long priority(RowFields f) throws RowFields.UnusableRowException {
+        return f.textOrDefault(PRIORITY, "").isEmpty() ? 0 : f.wholeNumber(PRIORITY, 0);
     }
 
     @Override
-    public void end(Tally tally) {
-        for (LongObjectCursor<Open> c : open) {
-            tally.skip(c.value.atUs == 0 ? Skip.BEFORE_TRACE : Skip.NO_END, c.value.place());
+    public void finish(RowStatistics tally) {
+        for (LongObjectCursor<StartedRun> c : startedRuns) {
+            tally.recordSkip(c.value.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, c.value.location());
         }
-        open.clear();
+        startedRuns.clear();
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/JobSorter.java
+++ b/lab/src/main/java/hookweir/lab/trace/JobSorter.java
@@ -14,32 +14,32 @@
 import java.util.PriorityQueue;
 
 /**
- * Sorts jobs by their start in bounded memory: runs of {@link #IN_MEMORY} are sorted and written to a folder of the system's for
+ * Sorts jobs by their start in bounded memory: runs of {@link #MAX_JOBS_IN_MEMORY} are sorted and written to a folder of the system's for
  * temporary files, then merged. Jobs of one instant come in an order that does not depend on the order of their rows.
  */
 final class JobSorter implements TraceJob.Sink, AutoCloseable {
     /** Jobs held in memory at most: some 30 MB. */
-    static final int IN_MEMORY = 500_000;
+    static final int MAX_JOBS_IN_MEMORY = 500_000;
 
-    private final int inMemory;
-    private final List<TraceJob> held = new ArrayList<>();
-    private final List<Path> runs = new ArrayList<>();
-    private Path folder;
+    private final int maxJobsInMemory;
+    private final List<TraceJob> buffer = new ArrayList<>();
+    private final List<Path> runFiles = new ArrayList<>();
+    private Path directory;
     private long count;
 
     JobSorter() {
-        this(IN_MEMORY);
+        this(MAX_JOBS_IN_MEMORY);
     }
 
     JobSorter(int inMemory) {
-        this.inMemory = inMemory;
+        this.maxJobsInMemory = inMemory;
     }
 
     @Override
-    public void job(TraceJob job) throws IOException {
-        held.add(job);
+    public void accept(TraceJob job) throws IOException {
+        buffer.add(job);
         count++;
-        if (held.size() >= inMemory) {
+        if (buffer.size() >= maxJobsInMemory) {
             spill();
         }
     }
@@ -49,29 +49,29 @@
     }
 
     private void spill() throws IOException {
-        if (folder == null) {
-            folder = Files.createTempDirectory("hookweir-trace");
+        if (directory == null) {
+            directory = Files.createTempDirectory("hookweir-trace");
         }
-        Collections.sort(held);
-        Path run = folder.resolve("run" + runs.size());
-        runs.add(run);
+        Collections.sort(buffer);
+        Path run = directory.resolve("run" + runFiles.size());
+        runFiles.add(run);
         try (DataOutputStream out = new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(run)))) {
-            for (TraceJob j : held) {
-                out.writeLong(j.atUs());
-                out.writeLong(j.workUs());
+            for (TraceJob j : buffer) {
+                out.writeLong(j.startUs());
+                out.writeLong(j.durationUs());
                 out.writeLong(j.key());
-                out.writeInt(j.trait());
+                out.writeInt(j.priority());
             }
         }
-        held.clear();
+        buffer.clear();
     }
 
     /** One sorted run, at its next job. */
-    private static final class Run implements Comparable<Run> {
+    private static final class RunReader implements Comparable<RunReader> {
         private final DataInputStream in;
         private TraceJob next;
 
-        Run(Path file) throws IOException {
+        RunReader(Path file) throws IOException {
             in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16));
             advance();
         }
@@ -86,31 +86,31 @@
         }
 
         @Override
-        public int compareTo(Run o) {
+        public int compareTo(RunReader o) {
             return next.compareTo(o.next);
         }
     }
 
     /** Hands on all jobs in order. */
-    void sorted(TraceJob.Sink to) throws IOException {
-        if (runs.isEmpty()) {
-            Collections.sort(held);
-            for (TraceJob j : held) {
-                to.job(j);
+    void forEachSorted(TraceJob.Sink to) throws IOException {
+        if (runFiles.isEmpty()) {
+            Collections.sort(buffer);
+            for (TraceJob j : buffer) {
+                to.accept(j);
             }
             return;
         }
         spill();
-        PriorityQueue<Run> heap = new PriorityQueue<>();
-        for (Path p : runs) {
-            Run r = new Run(p);
+        PriorityQueue<RunReader> heap = new PriorityQueue<>();
+        for (Path p : runFiles) {
+            RunReader r = new RunReader(p);
             if (r.next != null) {
                 heap.add(r);
             }
         }
         while (!heap.isEmpty()) {
-            Run r = heap.poll();
-            to.job(r.next);
+            RunReader r = heap.poll();
+            to.accept(r.next);
             r.advance();
             if (r.next != null) {
                 heap.add(r);
@@ -120,11 +120,11 @@
 
     @Override
     public void close() throws IOException {
-        for (Path p : runs) {
+        for (Path p : runFiles) {
             Files.deleteIfExists(p);
         }
-        if (folder != null) {
-            Files.deleteIfExists(folder);
+        if (directory != null) {
+            Files.deleteIfExists(directory);
         }
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/RowReader.java
+++ b/lab/src/main/java/hookweir/lab/trace/RowReader.java
@@ -13,18 +13,18 @@
     }
 
     /** A row of so many columns is none of this format. */
-    boolean isShort(int columns);
+    boolean hasTooFewColumns(int columns);
 
     /** The columns of a file, where it has a header. */
-    default void header(Fields names) throws IOException {
+    default void checkHeader(RowFields names) throws IOException {
         throw new IllegalStateException(name() + " has no header");
     }
 
     /** A data row of enough columns: counts itself as used, ignored or skipped in the tally, except where it waits for another row. */
-    void row(Fields f, Tally tally, TraceJob.Sink to) throws IOException, Fields.Unusable;
+    void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException;
 
     /** No more rows: whatever waits is accounted for. */
-    default void end(Tally tally) {
+    default void finish(RowStatistics tally) {
         // most wait for nothing
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Tally.java
+++ b/lab/src/main/java/hookweir/lab/trace/RowStatistics.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** Where each row of a trace went: rows = used + ignored + all skipped. Nothing vanishes. */
-final class Tally {
-    private static final int PLACES = 3;
+final class RowStatistics {
+    private static final int MAX_LOCATIONS = 3;
 
     /** How often a reason held, and where first. */
-    static final class Skipped {
+    static final class SkippedRows {
         long count;
-        final List<String> places = new ArrayList<>();
+        final List<String> locations = new ArrayList<>();
     }
 
     long rows;
@@ -22,32 +22,32 @@
     long adjusted;
     /** Used rows whose job starts before one that an earlier row told. */
     long outOfOrder;
-    private final Map<Skip, Skipped> skipped = new EnumMap<>(Skip.class);
-    private long lastAtUs = Long.MIN_VALUE;
+    private final Map<SkipReason, SkippedRows> skipped = new EnumMap<>(SkipReason.class);
+    private long maxStartUs = Long.MIN_VALUE;
 
     /** The row at that place gives no job. */
-    void skip(Skip why, String place) {
-        Skipped s = skipped.computeIfAbsent(why, w -> new Skipped());
+    void recordSkip(SkipReason why, String place) {
+        SkippedRows s = skipped.computeIfAbsent(why, w -> new SkippedRows());
         s.count++;
-        if (s.places.size() < PLACES) {
-            s.places.add(place);
+        if (s.locations.size() < MAX_LOCATIONS) {
+            s.locations.add(place);
         }
     }
 
     /** A row tells a job's start: it is before one that an earlier row told. */
-    boolean isLate(long atUs) {
-        boolean late = atUs < lastAtUs;
-        lastAtUs = Math.max(lastAtUs, atUs);
+    boolean isOutOfOrder(long atUs) {
+        boolean late = atUs < maxStartUs;
+        maxStartUs = Math.max(maxStartUs, atUs);
         return late;
     }
 
     /** A used row tells a job's start. */
-    void starts(long atUs) {
-        outOfOrder += isLate(atUs) ? 1 : 0;
+    void recordStart(long atUs) {
+        outOfOrder += isOutOfOrder(atUs) ? 1 : 0;
     }
 
     /** A run's length as it is kept. */
-    long length(long us) {
+    long normalizeDuration(long us) {
         if (us > 0) {
             return us;
         }
@@ -55,12 +55,12 @@
         return 1000;
     }
 
-    Map<Skip, Skipped> skipped() {
+    Map<SkipReason, SkippedRows> skipped() {
         return skipped;
     }
 
     /** All rows are accounted for. */
-    boolean balances() {
+    boolean isBalanced() {
         return rows == used + ignored + skipped.values().stream().mapToLong(s -> s.count).sum();
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Skip.java
+++ b/lab/src/main/java/hookweir/lab/trace/SkipReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a row of a trace gives no job. */
-enum Skip {
+enum SkipReason {
     /** Too few columns. */
     MISSING_COLUMN,
     /** A needed value is empty. */
--- a/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/StaleListTest.java
@@ -38,7 +38,7 @@
 
     @BeforeEach
     void setUp() throws IOException {
-        port = Ports.free();
+        port = Ports.allocate();
         witness = new Recorder(folder.resolve("history.jsonl"), Scenario.terms());
         workers = new StubWorkerPair(Point.AFTER_202, "none", port, witness);
         listService = new StubListService(workers, witness);
--- a/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
@@ -61,7 +61,7 @@
     @ParameterizedTest
     @CsvSource({"5, 1", "30, 2"})
     void schedulerSurvivesFailingSystemCalls(int perMille, int seed) throws Exception {
-        int port = Ports.free();
+        int port = Ports.allocate();
         Map<String, String> faults = Map.of("LD_PRELOAD", compileFaultLibrary().toString(), "FAULTS_PER_MILLE", Integer.toString(perMille),
             "FAULTS_SEED", Integer.toString(seed), "FAULTS_AFTER_MS", Integer.toString(FAULTS_START_MS), "FAULTS_FOR_MS", Integer.toString(FAULTS_DURATION_MS));
         try (StubWorkerPair workers = new StubWorkerPair(Point.AFTER_202, "none", port, EventSink.NONE);
--- a/lab/src/test/java/hookweir/lab/net/PortsTest.java
+++ b/lab/src/test/java/hookweir/lab/net/PortsTest.java
@@ -14,24 +14,24 @@
 /** A port that waits for its process is nobody else's meanwhile. */
 final class PortsTest {
     @Test
-    void noneIsGivenTwiceOrByTheSystemItself() throws IOException {
+    void portsAreUniqueAndBelowTheEphemeralRange() throws IOException {
         Set<Integer> given = new HashSet<>();
         for (int i = 0; i < 500; i++) {
-            given.add(Ports.free());
+            given.add(Ports.allocate());
         }
         assertEquals(500, given.size());
         for (int i = 0; i < 50; i++) {
             try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                assertTrue(any.getLocalPort() >= Ports.END, "drawn by the system: " + any.getLocalPort());
+                assertTrue(any.getLocalPort() >= Ports.END_PORT, "drawn by the system: " + any.getLocalPort());
             }
         }
     }
 
     @Test
-    void oneInUseIsPassedOver() throws IOException {
-        int next = Ports.free() + 1;
-        try (ServerSocket held = new ServerSocket(next < Ports.END ? next : Ports.FIRST, 1, InetAddress.getLoopbackAddress())) {
-            assertNotEquals(held.getLocalPort(), Ports.free());
+    void portInUseIsSkipped() throws IOException {
+        int next = Ports.allocate() + 1;
+        try (ServerSocket held = new ServerSocket(next < Ports.END_PORT ? next : Ports.FIRST_PORT, 1, InetAddress.getLoopbackAddress())) {
+            assertNotEquals(held.getLocalPort(), Ports.allocate());
         }
     }
 }
--- a/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
+++ b/lab/src/test/java/hookweir/lab/scale/ScaleCommandTest.java
@@ -32,6 +32,6 @@
 
     @Test
     void helpHasAnExample() throws CmdLineException {
-        assertTrue(new ScaleCommand().what().contains("example: java -jar lab/target/hookweir-lab.jar scale --workers"));
+        assertTrue(new ScaleCommand().description().contains("example: java -jar lab/target/hookweir-lab.jar scale --workers"));
     }
 }
--- a/lab/src/test/java/hookweir/lab/trace/TraceReaderTest.java
+++ b/lab/src/test/java/hookweir/lab/trace/TraceReaderTest.java
@@ -24,24 +24,24 @@
 /** Every row of a trace is used, ignored or skipped for a reason; broken files say where they are. */
 final class TraceReaderTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private final List<TraceJob> jobs = new ArrayList<>();
 
     private Path file(String name, String text) throws IOException {
-        return Files.write(folder.resolve(name), text.getBytes(StandardCharsets.UTF_8));
+        return Files.write(directory.resolve(name), text.getBytes(StandardCharsets.UTF_8));
     }
 
     private TraceReader read(String format, Path... files) throws IOException {
         TraceReader r = new TraceReader(List.of(files), format);
         r.read(jobs::add);
-        assertTrue(r.tally().balances(), "rows are used, ignored or skipped");
+        assertTrue(r.statistics().isBalanced(), "rows are used, ignored or skipped");
         return r;
     }
 
     private static Map<String, Long> skipped(TraceReader r) {
         Map<String, Long> out = new TreeMap<>();
-        r.tally().skipped().forEach((why, s) -> out.put(why.toString(), s.count));
+        r.statistics().skipped().forEach((why, s) -> out.put(why.toString(), s.count));
         return out;
     }
 
@@ -50,60 +50,60 @@
     }
 
     @Test
-    void googleRunsGoFromScheduleToTheirEnd() throws IOException {
+    void googleRunsLastFromScheduleToEndEvent() throws IOException {
         String day = task(0, 1, 0, 1) + task(100, 2, 0, 0) + task(200, 2, 0, 1) + task(150, 3, 0, 1) + task(700, 2, 0, 4) + task(160, 3, 0, 5)
             + task(800, 4, 0, 2) + task(900, 1, 0, 4) + task(950, 5, 1, 1) + task("", 5, 0, 1) + task("x", 5, 0, 1) + task(-4, 5, 0, 1)
             + task(960, 5, 0, 9) + task(Long.MAX_VALUE, 5, 1, 4) + task(970, 6, 0, 1) + task(970, 6, 0, 4) + "980,,7\n";
         TraceReader r = read("auto", file("g.csv", day));
         assertEquals("google-2011", r.format());
-        assertEquals(List.of(200L, 150L, 970L), jobs.stream().map(TraceJob::atUs).toList());
-        assertEquals(List.of(500L, 10L, 1000L), jobs.stream().map(TraceJob::workUs).toList());
-        assertEquals(9, jobs.get(0).trait());
+        assertEquals(List.of(200L, 150L, 970L), jobs.stream().map(TraceJob::startUs).toList());
+        assertEquals(List.of(500L, 10L, 1000L), jobs.stream().map(TraceJob::durationUs).toList());
+        assertEquals(9, jobs.get(0).priority());
         assertEquals(Map.of("after-trace", 1L, "bad-number", 1L, "before-trace", 2L, "missing-column", 1L, "missing-value", 1L, "no-end", 1L,
             "no-start", 1L, "out-of-range", 1L, "unknown-event", 1L), skipped(r));
-        assertEquals(17, r.tally().rows);
-        assertEquals(6, r.tally().used);
-        assertEquals(1, r.tally().ignored);
-        assertEquals(1, r.tally().adjusted);
-        assertEquals(1, r.tally().outOfOrder);
-        assertEquals(List.of(folder.resolve("g.csv") + ":7"), r.tally().skipped().get(Skip.NO_START).places);
+        assertEquals(17, r.statistics().rows);
+        assertEquals(6, r.statistics().used);
+        assertEquals(1, r.statistics().ignored);
+        assertEquals(1, r.statistics().adjusted);
+        assertEquals(1, r.statistics().outOfOrder);
+        assertEquals(List.of(directory.resolve("g.csv") + ":7"), r.statistics().skipped().get(SkipReason.NO_START).locations);
     }
 
     @Test
-    void alibabaRowsStandForInstances() throws IOException {
+    void alibabaRowYieldsOneJobPerInstance() throws IOException {
         TraceReader r = read("auto", file("a.csv", "task_a,3,j_1,1,Terminated,10,12,100,0.5\ntask_b,1,j_2,1,Running,10,0,100,0.5\n"
             + "task_c,1,j_2,1,Terminated,0,9,100,0.5\ntask_d,1,j_2,1,Failed,12,11,100,0.5\ntask_e,1,j_3,1,Waiting,,,,\n"));
         assertEquals("alibaba-2018", r.format());
-        assertEquals(Collections.nCopies(3, 2_000_000L), jobs.stream().map(TraceJob::workUs).toList());
+        assertEquals(Collections.nCopies(3, 2_000_000L), jobs.stream().map(TraceJob::durationUs).toList());
         assertEquals(Map.of("before-trace", 1L, "missing-value", 1L, "no-end", 1L, "out-of-range", 1L), skipped(r));
     }
 
     /** A byte-order mark, CRLF, quotes with commas and line ends, gzip, and two files: the same as plain. */
     @Test
-    void azureRunsStartBeforeTheirEndHoweverTheyAreWritten() throws IOException {
+    void azureRowsAreReadInAnyCsvEncoding() throws IOException {
         String text = "\ufeffapp,func,end_timestamp,duration\r\n\"a,\n1\",f,10.5,0.25\r\n\r\nb,g,3,5\r\nb,g,9.000001,0\r\n";
         ByteArrayOutputStream zipped = new ByteArrayOutputStream();
         try (GZIPOutputStream out = new GZIPOutputStream(zipped)) {
             out.write(text.getBytes(StandardCharsets.UTF_8));
         }
-        Path gz = Files.write(folder.resolve("z.csv.gz"), zipped.toByteArray());
+        Path gz = Files.write(directory.resolve("z.csv.gz"), zipped.toByteArray());
         TraceReader r = read("auto", gz, file("z.csv", text));
         assertEquals("azure-functions-2021", r.format());
-        assertEquals(List.of(10_250_000L, 9_000_001L, 10_250_000L, 9_000_001L), jobs.stream().map(TraceJob::atUs).toList());
-        assertEquals(List.of(250_000L, 1000L, 250_000L, 1000L), jobs.stream().map(TraceJob::workUs).toList());
+        assertEquals(List.of(10_250_000L, 9_000_001L, 10_250_000L, 9_000_001L), jobs.stream().map(TraceJob::startUs).toList());
+        assertEquals(List.of(250_000L, 1000L, 250_000L, 1000L), jobs.stream().map(TraceJob::durationUs).toList());
         assertEquals(jobs.get(0), jobs.get(2));
         assertEquals(Map.of("before-trace", 2L), skipped(r));
-        assertEquals(6, r.tally().rows);
+        assertEquals(6, r.statistics().rows);
     }
 
     @Test
-    void aFileThatBreaksOffIsReadUpToThere() throws IOException {
+    void truncatedFileIsReadUpToTheBreak() throws IOException {
         String text = task(200, 2, 0, 1) + task(700, 2, 0, 4);
         TraceReader r = read("google-2011", file("cut.csv", text + "800,,9,0"));
-        assertEquals(folder.resolve("cut.csv") + ":3: the file breaks off in the midst of a row", r.cut());
-        assertEquals(2, r.tally().rows);
+        assertEquals(directory.resolve("cut.csv") + ":3: the file breaks off in the midst of a row", r.truncation());
+        assertEquals(2, r.statistics().rows);
         assertEquals(1, jobs.size());
-        assertNull(read("google-2011", file("whole.csv", text.strip())).cut()); // the last line's end may be missing
+        assertNull(read("google-2011", file("whole.csv", text.strip())).truncation()); // the last line's end may be missing
 
         StringBuilder many = new StringBuilder();
         Random random = new Random(5);
@@ -114,24 +114,24 @@
         try (GZIPOutputStream out = new GZIPOutputStream(zipped)) {
             out.write(many.toString().getBytes(StandardCharsets.UTF_8));
         }
-        Path half = Files.write(folder.resolve("half.gz"), Arrays.copyOf(zipped.toByteArray(), zipped.size() / 2));
+        Path half = Files.write(directory.resolve("half.gz"), Arrays.copyOf(zipped.toByteArray(), zipped.size() / 2));
         TraceReader broken = read("google-2011", half);
-        assertTrue(broken.cut().contains("half.gz:") && broken.cut().contains("breaks off"), broken.cut());
-        assertTrue(broken.tally().rows > 500 && broken.tally().rows < 2999, "rows " + broken.tally().rows);
+        assertTrue(broken.truncation().contains("half.gz:") && broken.truncation().contains("breaks off"), broken.truncation());
+        assertTrue(broken.statistics().rows > 500 && broken.statistics().rows < 2999, "rows " + broken.statistics().rows);
     }
 
     @Test
-    void whatIsNoTraceSaysSo() throws IOException {
-        Path zero = Files.write(folder.resolve("bin"), new byte[] {'1', ',', 0, 4});
-        Path gz = Files.write(folder.resolve("bad.gz"), new byte[] {0x1f, (byte) 0x8b, 9, 9, 9});
-        for (Object[] c : new Object[][] {{folder, "is a directory"}, {file("empty", ""), "holds no rows"}, {zero, "is no text (a zero byte at 2)"},
+    void invalidFilesAreRejectedWithAReason() throws IOException {
+        Path zero = Files.write(directory.resolve("bin"), new byte[] {'1', ',', 0, 4});
+        Path gz = Files.write(directory.resolve("bad.gz"), new byte[] {0x1f, (byte) 0x8b, 9, 9, 9});
+        for (Object[] c : new Object[][] {{directory, "is a directory"}, {file("empty", ""), "holds no rows"}, {zero, "is no text (a zero byte at 2)"},
             {gz, "its compression is broken"}, {file("odd", "a,b\n1,2\n"), ":1: no known format has such a row (2 columns)"}}) {
             IOException e = assertThrows(IOException.class, () -> read("auto", (Path) c[0]));
             assertTrue(e.getMessage().startsWith(c[0].toString()) && e.getMessage().contains((String) c[1]), e.getMessage());
         }
         IOException e = assertThrows(IOException.class, () -> read("azure-functions-2021", file("h", "app,func,end,duration\n")));
         assertTrue(e.getMessage().endsWith(":1: column 3 is 'end', not 'end_timestamp' as in azure-functions-2021"), e.getMessage());
-        assertTrue(assertThrows(IOException.class, () -> read("excel", folder)).getMessage().startsWith("--format: 'excel'"));
+        assertTrue(assertThrows(IOException.class, () -> read("excel", directory)).getMessage().startsWith("--format: 'excel'"));
     }
 
     /** Sorted outside memory as in it, whatever the order of the rows. */
@@ -149,10 +149,10 @@
             List<TraceJob> got = new ArrayList<>();
             try (JobSorter s = new JobSorter(inMemory)) {
                 for (TraceJob j : all) {
-                    s.job(j);
+                    s.accept(j);
                 }
                 assertEquals(1000, s.count());
-                s.sorted(got::add);
+                s.forEachSorted(got::add);
             }
             assertEquals(want, got);
         }
