--- a/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/HotPathBenchmark.java
@@ -21,7 +21,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The steps of a job that take the most time: reading it, drawing its worker, reading a report. */
+/** Measures the most expensive steps of a job: parsing the request, selecting a worker, parsing a load report. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,7 +32,7 @@
     private static final byte[] REQUEST = ("POST /api/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f03aa5c7e2d41\r\n"
         + "Req-Kind: render\r\nReq-Deadline-Ms: 480\r\nContent-Length: 4\r\n\r\nwork").getBytes(StandardCharsets.US_ASCII);
 
-    /** A module with so many workers, each heard from, that probes none. */
+    /** A decision module with the given number of workers, all of them known from the worker list, and no probes. */
     @State(Scope.Thread)
     public static class Module implements Contract.Host {
         @Param({"10", "100", "1000"})
@@ -43,7 +43,7 @@
         private int nextRequestId;
         private int chosenWorker;
 
-        /** Fills the list. */
+        /** Creates the module and passes it the worker list. */
         @Setup(Level.Trial)
         public void setUp() {
             Contract.Settings settings = new Contract.Settings();
@@ -60,12 +60,12 @@
         }
 
         @Override
-        public void send(int requestId, int workerId, long withinUs) {
+        public void send(int requestId, int workerId, long timeoutUs) {
             chosenWorker = workerId;
         }
 
         @Override
-        public void reject(int requestId, long comeBackUs) {
+        public void reject(int requestId, long retryAfterUs) {
             chosenWorker = -1;
         }
 
@@ -106,7 +106,7 @@
     private final RequestDecoder framing = new RequestDecoder();
     private final LoadReportParser reports = new LoadReportParser(new String[] {"inflight", "queue", "util"});
 
-    /** A request, from its first byte to its last. */
+    /** Parses one request from its first to its last byte. */
     @Benchmark
     public Object request() {
         int at = framing.feed(REQUEST, 0, REQUEST.length);
@@ -115,21 +115,21 @@
         return framing.takeRequest();
     }
 
-    /** A job from its coming to its end, one worker drawn. */
+    /** Schedules one job from arrival to end, with one worker selected. */
     @Benchmark
-    public int job(Module m) {
-        Contract.Request r = new Contract.Request();
-        r.id = m.nextRequestId++;
-        m.nowUs += 200;
-        r.deadlineAtUs = m.nowUs + 1_000_000;
-        m.policy.requestAccepted(m.nowUs, r);
-        if (m.chosenWorker >= 0) {
-            m.policy.attemptEnded(m.nowUs + 100, r.id, 0, m.chosenWorker, Contract.Outcome.OK, 100, true, null);
+    public int job(Module module) {
+        Contract.Request request = new Contract.Request();
+        request.id = module.nextRequestId++;
+        module.nowUs += 200;
+        request.deadlineAtUs = module.nowUs + 1_000_000;
+        module.policy.requestAccepted(module.nowUs, request);
+        if (module.chosenWorker >= 0) {
+            module.policy.attemptEnded(module.nowUs + 100, request.id, 0, module.chosenWorker, Contract.Outcome.OK, 100, true, null);
         }
-        return m.chosenWorker;
+        return module.chosenWorker;
     }
 
-    /** A report in a header. */
+    /** Parses a load report from a header. */
     @Benchmark
     public Object report() {
         return reports.parsePairs("inflight=7,queue=2,util=0.61");
--- a/bench/src/main/java/hookweir/bench/IndexedHeap.java
+++ b/bench/src/main/java/hookweir/bench/IndexedHeap.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** The timers' other candidate: a binary heap whose timers know their place, so that cancelling takes log n steps. */
+/** An alternative to the timer wheel: a binary heap whose timers store their index, so that cancelling takes O(log n). */
 final class IndexedHeap {
     private Timer[] heap = new Timer[1024];
     private int size;
 
-    /** One timer. */
+    /** A scheduled timer. */
     static final class Timer {
         private final long atUs;
         private Runnable task;
@@ -23,64 +23,64 @@
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
-        Timer t = new Timer(atUs, task);
-        place(t, size++);
-        siftUp(t);
-        return t;
+        Timer timer = new Timer(atUs, task);
+        place(timer, size++);
+        siftUp(timer);
+        return timer;
     }
 
-    void cancel(Timer t) {
-        if (t.index < 0) {
+    void cancel(Timer timer) {
+        if (timer.index < 0) {
             return;
         }
-        Timer moved = heap[--size];
+        Timer last = heap[--size];
         heap[size] = null;
-        if (moved != t) {
-            place(moved, t.index);
-            siftUp(moved);
-            siftDown(moved);
+        if (last != timer) {
+            place(last, timer.index);
+            siftUp(last);
+            siftDown(last);
         }
-        t.index = -1;
-        t.task = null;
+        timer.index = -1;
+        timer.task = null;
     }
 
     Runnable poll(long nowUs) {
         if (size == 0 || heap[0].atUs > nowUs) {
             return null;
         }
-        Timer t = heap[0];
-        Runnable task = t.task;
-        cancel(t);
+        Timer timer = heap[0];
+        Runnable task = timer.task;
+        cancel(timer);
         return task;
     }
 
-    private void place(Timer t, int at) {
-        heap[at] = t;
-        t.index = at;
+    private void place(Timer timer, int index) {
+        heap[index] = timer;
+        timer.index = index;
     }
 
-    private void siftUp(Timer t) {
-        while (t.index > 0 && heap[(t.index - 1) / 2].atUs > t.atUs) {
-            swap(t, heap[(t.index - 1) / 2]);
+    private void siftUp(Timer timer) {
+        while (timer.index > 0 && heap[(timer.index - 1) / 2].atUs > timer.atUs) {
+            swap(timer, heap[(timer.index - 1) / 2]);
         }
     }
 
-    private void siftDown(Timer t) {
-        while (2 * t.index + 1 < size) {
-            int child = 2 * t.index + 1;
+    private void siftDown(Timer timer) {
+        while (2 * timer.index + 1 < size) {
+            int child = 2 * timer.index + 1;
             if (child + 1 < size && heap[child + 1].atUs < heap[child].atUs) {
                 child++;
             }
-            if (heap[child].atUs >= t.atUs) {
+            if (heap[child].atUs >= timer.atUs) {
                 return;
             }
-            swap(t, heap[child]);
+            swap(timer, heap[child]);
         }
     }
 
     private void swap(Timer a, Timer b) {
-        int at = a.index;
+        int index = a.index;
         place(a, b.index);
-        place(b, at);
+        place(b, index);
     }
 }
--- a/bench/src/main/java/hookweir/bench/TimersBenchmark.java
+++ b/bench/src/main/java/hookweir/bench/TimersBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a job's timers cost: with so many live, one is set, one cancelled, and the clock goes on by 100 µs. */
+/** Measures the cost of timers: with a given number live, cancels one, schedules one and advances the clock by 100 µs. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -41,7 +41,7 @@
     private DeadlineTimerWheel agrona;
     private long[] agronaTimers;
 
-    /** Fills all of them alike. */
+    /** Fills all implementations with the same timers. */
     @Setup(Level.Trial)
     public void setUp() {
         wheel = new TimerWheel(0);
@@ -64,7 +64,7 @@
         return nowUs + DELAY_RANGE_US / 2 + random.nextInt(DELAY_RANGE_US);
     }
 
-    /** The hashed wheel of the product. */
+    /** The hashed timer wheel that the scheduler uses. */
     @Benchmark
     public Runnable wheel() {
         long at = advance();
@@ -73,7 +73,7 @@
         return wheel.poll(nowUs);
     }
 
-    /** An indexed heap. */
+    /** The indexed binary heap. */
     @Benchmark
     public Runnable heap() {
         long at = advance();
@@ -82,7 +82,7 @@
         return heap.poll(nowUs);
     }
 
-    /** Agrona's wheel, without the map from its numbers to tasks that a user would need beside it. */
+    /** Agrona's timer wheel, without the map from timer ids to tasks that it would need in use. */
     @Benchmark
     public int agrona() {
         long at = advance();
--- a/lab/src/main/java/hookweir/lab/Main.java
+++ b/lab/src/main/java/hookweir/lab/Main.java
@@ -19,21 +19,21 @@
         @Option(name = "--help", aliases = "-h", help = true, usage = "prints this")
         private boolean help;
 
-        /** Runs it; its exit status. */
+        /** Runs the command; returns the exit status. */
         protected abstract int run() throws IOException, InterruptedException;
 
-        /** What it does, and an example of it. */
+        /** What the command does, with an example. */
         protected abstract String description();
     }
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class,
-        usage = "capacity: how many jobs a second one scheduler serves; saturate: minutes of full load, with memory for "
-            + "each; compare: builds in turn under closed loops; "
-            + "check-history: the brief's rules on histories; mutate-history: breaks a kept one in every place; "
-            + "two-lives: stops a scheduler at every point and judges both its lives; random-stops: does so under load, again and again; "
-            + "soak: ends one by signals in series up to an early kill; "
-            + "trace-inspect: what a public trace holds; "
-            + "scale: hollow workers and schedulers in simulated time, and what their messages come to")
+        usage = "capacity: how many jobs per second one scheduler serves; saturate: full load, with memory use for "
+            + "each minute; compare: several builds in turn under closed loops; "
+            + "check-history: checks recorded histories against the rules; mutate-history: breaks a history in every place; "
+            + "two-lives: stops a scheduler at every point and checks both runs; random-stops: does so repeatedly under load; "
+            + "soak: stops a scheduler by series of signals up to an early kill; "
+            + "trace-inspect: summarizes a public trace; "
+            + "scale: simulates workers and schedulers, and measures their message traffic")
     @SubCommands({
         @SubCommand(name = "capacity", impl = Capacity.class),
         @SubCommand(name = "compare", impl = Compare.class),
--- a/lab/src/main/java/hookweir/lab/Saturate.java
+++ b/lab/src/main/java/hookweir/lab/Saturate.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import org.kohsuke.args4j.Option;
 
-/** Minutes of as much load as so many clients can make, each beginning anew as soon as it has its answer. */
+/** Loads one scheduler for minutes in a closed loop, where each client starts its next job as soon as it has a response. */
 public final class Saturate extends LoadCommand {
     private static final double MINUTE_S = 60;
 
-    @Option(name = "--minutes", usage = "how long")
+    @Option(name = "--minutes", usage = "duration in minutes")
     private double minutes = 10;
     @Option(name = "--clients", usage = "client connections")
     private int connections = 64;
@@ -26,7 +26,7 @@
 
     @Override
     protected String description() {
-        return "Minutes of full load on one scheduler, with its memory for each minute.\n"
+        return "Loads one scheduler fully, and reports its memory use for each minute.\n"
             + "example: java -jar lab/target/hookweir-lab.jar saturate --minutes 10 --clients 900 --body 60000";
     }
 
@@ -35,22 +35,24 @@
         List<Step> steps = new ArrayList<>();
         System.out.println(Step.tableHeader());
         long unanswered;
-        boolean kept;
-        try (LoadTestHarness bench = startHarness()) {
-            LoadGenerator.Workload plan = new LoadGenerator.Workload(connections, 0, bodyBytes, deadlineMs, "job");
-            LoadGenerator c = bench.startGenerator(plan);
+        boolean historyValid;
+        try (LoadTestHarness harness = startHarness()) {
+            LoadGenerator.Workload workload = new LoadGenerator.Workload(connections, 0, bodyBytes, deadlineMs, "job");
+            LoadGenerator generator = harness.startGenerator(workload);
             for (int i = 0; i * 1.0 < minutes; i++) {
-                steps.add(bench.measure(c, plan, MINUTE_S * Math.min(1, minutes - i)));
+                steps.add(harness.measure(generator, workload, MINUTE_S * Math.min(1, minutes - i)));
                 System.out.println(steps.get(i));
             }
-            unanswered = bench.stopGenerator(c) + steps.stream().mapToLong(Step::failed).sum();
-            System.out.println("failed or without an answer " + unanswered + ", attempts twice " + bench.stubWorkers().repeatedAttempts() + ", call-backs dropped "
-                + bench.stubWorkers().droppedCallbacks() + "\n" + bench.target().logTail() + "\n" + formatCallbackLatency(bench));
-            kept = bench.closeAndCheckHistory();
+            unanswered = harness.stopGenerator(generator) + steps.stream().mapToLong(Step::failed).sum();
+            System.out.println("failed or without a response " + unanswered + ", repeated attempts " + harness.stubWorkers().repeatedAttempts()
+                + ", dropped callbacks " + harness.stubWorkers().droppedCallbacks() + "\n" + harness.target().logTail()
+                + "\n" + formatCallbackLatency(harness));
+            historyValid = harness.closeAndCheckHistory();
         }
-        LoadReport.writeJson(Path.of(outputFolder), name, Map.of("clients", connections, "bodyBytes", bodyBytes, "resultBytes", resultBytes, "deadlineMs", deadlineMs,
-            "serviceMs", serviceMs, "workers", workers, "unanswered", unanswered), steps);
-        LoadReport.writeMemoryChart(Path.of(outputFolder), name, connections + " clients, bodies of " + bodyBytes + " bytes, deadline " + deadlineMs + " ms", steps);
-        return kept ? 0 : 1;
+        LoadReport.writeJson(Path.of(outputFolder), name, Map.of("clients", connections, "bodyBytes", bodyBytes, "resultBytes", resultBytes,
+            "deadlineMs", deadlineMs, "serviceMs", serviceMs, "workers", workers, "unanswered", unanswered), steps);
+        LoadReport.writeMemoryChart(Path.of(outputFolder), name,
+            connections + " clients, bodies of " + bodyBytes + " bytes, deadline " + deadlineMs + " ms", steps);
+        return historyValid ? 0 : 1;
     }
 }
--- a/lab/src/main/java/hookweir/lab/load/Echo.java
+++ b/lab/src/main/java/hookweir/lab/load/Echo.java
@@ -15,9 +15,9 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * What the transport alone can do: answers each read by one fixed answer and looks at nothing. A job of a scheduler is three
- * such exchanges (client, worker, call-back), so a third of this rate is the most that a scheduler on the same transport
- * could reach if it did nothing at all.
+ * Measures the transport alone: answers each read with one fixed response without parsing it. A scheduler handles three
+ * request-response pairs for each job (client, worker, callback), so a third of this rate is the upper bound for a scheduler
+ * on the same transport.
  */
 public final class Echo {
     private static final byte[] RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
@@ -25,7 +25,7 @@
     private Echo() {
     }
 
-    /** Serves on the loopback port given, until it is ended. */
+    /** Serves on the given loopback port until the process is killed. */
     public static void main(String[] args) throws IOException, InterruptedException {
         TCPNIOTransport tcp = TCPNIOTransportBuilder.newInstance()
             .setIOStrategy(SameThreadIOStrategy.getInstance())
--- a/lab/src/main/java/hookweir/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/hookweir/lab/load/LoadGenerator.java
@@ -18,9 +18,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients on kept connections, at a rate of their own (open loop) or each as soon as it has its answer (closed loop).
- * In an open loop a job's time counts from when it was meant to start, so a scheduler that stalls can't hide it by
- * holding the generator up (coordinated omission).
+ * Generates load over persistent connections, either at a fixed rate (open loop) or with each client starting its next job
+ * as soon as it has a response (closed loop). In an open loop latency is measured from the intended start, so a stalled
+ * scheduler cannot hide its delay by stalling the generator (coordinated omission).
  */
 public final class LoadGenerator {
     private static final long MAX_LATENCY_NS = 120_000_000_000L;
@@ -28,18 +28,18 @@
     private static final long RETRY_DELAY_NS = 50_000_000L;
 
     /**
-     * What the clients do.
+     * The load to generate.
      *
-     * @param connections how many connections there are at most
-     * @param jobsPerSecond jobs begun in a second, evenly; 0 for a closed loop
+     * @param connections the maximum number of connections
+     * @param jobsPerSecond jobs started per second, evenly spaced; 0 for a closed loop
      * @param bodyBytes length of each job's body
-     * @param deadlineMs what each client says it waits
-     * @param kind the class of all jobs
+     * @param deadlineMs the deadline that each request carries
+     * @param kind the request class of all jobs
      */
     public record Workload(int connections, double jobsPerSecond, int bodyBytes, long deadlineMs, String kind) {
     }
 
-    /** What came of the jobs that were begun in one span. All times in ns. */
+    /** Outcomes of jobs within one measurement interval. All times are in ns. */
     public static final class Measurements {
         public final Histogram served = new Histogram(MAX_LATENCY_NS, SIGNIFICANT_DIGITS);
         public final Histogram rejected = new Histogram(MAX_LATENCY_NS, SIGNIFICANT_DIGITS);
@@ -47,7 +47,7 @@
         public long failed;
         public long unanswered;
 
-        /** Jobs that got any answer. */
+        /** Jobs that got a response of any status. */
         public long responseCount() {
             return served.getTotalCount() + rejected.getTotalCount() + failed;
         }
@@ -63,25 +63,25 @@
     private final Deque<Long> dueStartsNs = new ArrayDeque<>();
     private Measurements measurements = new Measurements();
     private long jobCount;
-    private int openClient;
+    private int openConnections;
     private final Set<Client> allClients = new HashSet<>();
     private long nextStartNs;
     private boolean stopping;
-    private volatile boolean setResendEnabled = true;
-    private volatile boolean setConnectEnabled = true;
+    private volatile boolean resendEnabled = true;
+    private volatile boolean connectEnabled = true;
     private int outstanding;
 
-    /** Clients of this thread; the prefix keeps their jobs' ids apart from those of others, and the witness hears of all they see. */
-    public LoadGenerator(Reactor reactor, InetSocketAddress to, Workload plan, String idPrefix, EventSink witness) {
+    /** Creates clients on the reactor's thread. The prefix keeps their job ids distinct; the event sink receives all that clients observe. */
+    public LoadGenerator(Reactor reactor, InetSocketAddress to, Workload workload, String idPrefix, EventSink witness) {
         this.events = witness;
         this.reactor = reactor;
         this.address = to;
-        this.workload = plan;
+        this.workload = workload;
         this.idPrefix = idPrefix;
-        body = "w".repeat(plan.bodyBytes).getBytes(StandardCharsets.US_ASCII);
+        body = "w".repeat(workload.bodyBytes).getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Begins. */
+    /** Starts generating load. */
     public void start() {
         reactor.post(() -> {
             if (workload.jobsPerSecond > 0) {
@@ -96,54 +96,54 @@
     }
 
     /**
-     * Whether what a kept connection's end crossed is sent once more. Off while a scheduler is killed: a client can't tell
-     * then whether its request had been read. Any thread.
+     * Sets whether a request is resent once if its reused connection is closed while the request is in flight. Disabled while
+     * a scheduler is killed, as a client then can't tell whether its request was read. May be called from any thread.
      */
     public void setResendEnabled(boolean on) {
-        setResendEnabled = on;
+        resendEnabled = on;
     }
 
-    /** Whether new connections are made, as a front has it: it sends nobody to a scheduler that it knows to be leaving. Any thread. */
+    /** Sets whether new connections are made: a load balancer sends no client to a draining scheduler. May be called from any thread. */
     public void setConnectEnabled(boolean on) {
-        setConnectEnabled = on;
+        connectEnabled = on;
     }
 
     private void runWhenConnectEnabled(Runnable task) {
-        if (setConnectEnabled) {
+        if (connectEnabled) {
             task.run();
         } else {
             reactor.schedule(System.nanoTime() + RETRY_DELAY_NS, () -> runWhenConnectEnabled(task));
         }
     }
 
-    /** What was seen since the last call, or the start. Any thread. */
+    /** Returns and resets the measurements since the last call or the start. May be called from any thread. */
     public Measurements takeMeasurements() throws InterruptedException {
-        Measurements[] taken = new Measurements[1];
+        Measurements[] result = new Measurements[1];
         CountDownLatch done = new CountDownLatch(1);
         reactor.post(() -> {
-            taken[0] = measurements;
+            result[0] = measurements;
             measurements = new Measurements();
             done.countDown();
         });
         done.await();
-        return taken[0];
+        return result[0];
     }
 
-    /** Begins no more jobs; true once all that were begun have ended and their connections with them. Any thread. */
+    /** Starts no more jobs; returns true, and closes all connections, once no job is outstanding. May be called from any thread. */
     public boolean stop() throws InterruptedException {
-        boolean[] over = new boolean[1];
+        boolean[] finished = new boolean[1];
         CountDownLatch done = new CountDownLatch(1);
         reactor.post(() -> {
             stopping = true;
             dueStartsNs.clear();
-            over[0] = outstanding == 0;
-            if (over[0]) {
-                new ArrayList<>(allClients).forEach(Client::close); // what rests would keep others out
+            finished[0] = outstanding == 0;
+            if (finished[0]) {
+                new ArrayList<>(allClients).forEach(Client::close); // idle connections would count against the scheduler's limit
             }
             done.countDown();
         });
         done.await();
-        return over[0];
+        return finished[0];
     }
 
     private void enqueueDueJobs() {
@@ -161,11 +161,11 @@
     private void dispatchDueJobs() {
         while (!dueStartsNs.isEmpty()) {
             Client c = idle.pollFirst();
-            if (c == null && openClient < workload.connections) {
+            if (c == null && openConnections < workload.connections) {
                 c = openClient();
             }
             if (c == null) {
-                return; // all are busy: the job waits, and its time runs
+                return; // all connections are busy: the job waits, and the wait counts as latency
             }
             c.sendJob(dueStartsNs.pollFirst());
         }
@@ -173,7 +173,7 @@
 
     private Client openClient() {
         Client c = new Client();
-        openClient++;
+        openConnections++;
         reactor.connect(address, c);
         if (workload.jobsPerSecond <= 0) {
             c.sendJob(System.nanoTime());
@@ -184,37 +184,37 @@
     private final class Client extends HttpConnection {
         private long startNs;
         private boolean awaitingResponse;
-        /** A kept connection: its end may cross a request, which the protocol lets a client send once more. */
+        /** The connection has carried a request before: if it closes during the next request, the protocol permits one resend. */
         private boolean reused;
-        /** A refused client comes back when it was told to. */
+        /** The delay before the next request of a rejected client: its Retry-After, if any. */
         private long retryDelayNs = RETRY_DELAY_NS;
         private String id;
         private String head;
         private boolean requestSent;
-        /** Sends once more what another connection's end crossed. */
+        /** Resends a request whose first connection was closed while it was in flight. */
         private boolean isResend;
 
         Client() {
             allClients.add(this);
         }
 
-        void sendJob(long meantNs) {
-            sendJob(meantNs, idPrefix + Long.toHexString(jobCount++));
+        void sendJob(long intendedStartNs) {
+            sendJob(intendedStartNs, idPrefix + Long.toHexString(jobCount++));
         }
 
-        private void sendJob(long meantNs, String withId) {
-            id = withId;
+        private void sendJob(long intendedStartNs, String jobId) {
+            id = jobId;
             requestSent = false;
-            startNs = meantNs;
+            startNs = intendedStartNs;
             awaitingResponse = true;
             outstanding++;
             measurements.started++;
             head = "POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: "
                 + workload.kind + "\r\nReq-Deadline-Ms: " + workload.deadlineMs + "\r\nContent-Length: " + body.length + "\r\n\r\n";
-            byte[] text = new byte[head.length() + body.length];
-            System.arraycopy(head.getBytes(StandardCharsets.ISO_8859_1), 0, text, 0, head.length());
-            System.arraycopy(body, 0, text, head.length(), body.length);
-            write(text);
+            byte[] request = new byte[head.length() + body.length];
+            System.arraycopy(head.getBytes(StandardCharsets.ISO_8859_1), 0, request, 0, head.length());
+            System.arraycopy(body, 0, request, head.length(), body.length);
+            write(request);
         }
 
         @Override
@@ -228,7 +228,7 @@
         }
 
         @Override
-        protected void onMessage(String head, byte[] answer) {
+        protected void onMessage(String head, byte[] responseBody) {
             if (!awaitingResponse) {
                 return;
             }
@@ -236,22 +236,22 @@
             reused = true;
             isResend = false;
             outstanding--;
-            long took = Math.min(MAX_LATENCY_NS, Math.max(1, System.nanoTime() - startNs));
+            long latencyNs = Math.min(MAX_LATENCY_NS, Math.max(1, System.nanoTime() - startNs));
             String status = head.substring(9, 12);
             if (events.isEnabled()) {
-                String advice = header(head, "Retry-After");
-                events.accept(Event.of(Type.ANSWER, id, "", "").withResponse(Integer.parseInt(status), Checksums.body(answer))
-                    .retryAfter(advice == null ? "" : advice));
+                String retryAfterHeader = header(head, "Retry-After");
+                events.accept(Event.of(Type.ANSWER, id, "", "").withResponse(Integer.parseInt(status), Checksums.body(responseBody))
+                    .retryAfter(retryAfterHeader == null ? "" : retryAfterHeader));
             }
             switch (status) {
-                case "200" -> measurements.served.recordValue(took);
-                case "429", "503" -> measurements.rejected.recordValue(took);
+                case "200" -> measurements.served.recordValue(latencyNs);
+                case "429", "503" -> measurements.rejected.recordValue(latencyNs);
                 default -> measurements.failed++;
             }
-            boolean ends = head.contains("onnection: close");
-            String wait = status.equals("200") ? null : header(head, "Retry-After");
-            retryDelayNs = wait == null ? RETRY_DELAY_NS : (long) (Double.parseDouble(wait) * 1e9);
-            if (ends) {
+            boolean closing = head.contains("onnection: close");
+            String retryAfter = status.equals("200") ? null : header(head, "Retry-After");
+            retryDelayNs = retryAfter == null ? RETRY_DELAY_NS : (long) (Double.parseDouble(retryAfter) * 1e9);
+            if (closing) {
                 close();
             } else if (workload.jobsPerSecond > 0) {
                 idle.addFirst(this);
@@ -269,23 +269,23 @@
             }
         }
 
-        /** The same request on a new connection. */
+        /** Sends the same request on a new connection. */
         private void resend(long atNs) {
             measurements.started--;
-            Client once = new Client();
-            once.isResend = true;
-            openClient++;
+            Client resender = new Client();
+            resender.isResend = true;
+            openConnections++;
             outstanding++;
             reactor.schedule(atNs, () -> runWhenConnectEnabled(() -> {
                 outstanding--;
-                reactor.connect(address, once);
-                once.sendJob(startNs, id);
+                reactor.connect(address, resender);
+                resender.sendJob(startNs, id);
             }));
         }
 
         @Override
         protected void onClosed() {
-            openClient--;
+            openConnections--;
             allClients.remove(this);
             idle.remove(this);
             if (awaitingResponse) {
@@ -294,12 +294,12 @@
                 if (events.isEnabled() && requestSent) {
                     events.accept(Event.cut(id, reused));
                 }
-                if (reused && requestSent && setResendEnabled) {
+                if (reused && requestSent && resendEnabled) {
                     resend(System.nanoTime());
                     return;
                 }
                 if (isResend && !requestSent) {
-                    resend(System.nanoTime() + RETRY_DELAY_NS); // nobody was there
+                    resend(System.nanoTime() + RETRY_DELAY_NS); // could not connect
                     return;
                 }
                 measurements.unanswered++;
--- a/lab/src/main/java/hookweir/lab/load/LoadTestHarness.java
+++ b/lab/src/main/java/hookweir/lab/load/LoadTestHarness.java
@@ -14,27 +14,30 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A scheduler with stand-ins round it and clients before it, and what a span of load on it came to. */
+/** Runs one scheduler with stub workers and load-generating clients, and measures it under load. */
 public final class LoadTestHarness implements AutoCloseable {
     private static final long DRAIN_TIMEOUT_MS = 30_000;
 
     /**
-     * What is set up.
+     * What a harness is set up with.
      *
-     * @param root the folder with deploy/balancer.toml
-     * @param cpu the scheduler's processor, or -1
+     * @param root the folder that holds deploy/balancer.toml
+     * @param cpu the CPU that the scheduler is pinned to, or -1 for any
+     * @param workers the number of stub workers
      * @param serviceMs how long each job takes
-     * @param targetLatencyMs the class's aim; its deadline is twice as long
-     * @param loadReporting how workers report their load: pull or silent
-     * @param jvmFlags further flags for the scheduler's JVM
-     * @param freshCallbackConnections each call-back goes on a connection of its own
-     * @param historyFile where a history of all that clients and stand-ins see is written, or null
+     * @param resultBytes the length of each job's result
+     * @param targetLatencyMs the target latency of the request class; its deadline is twice as long
+     * @param maxSockets the scheduler's setting limits.sockets
+     * @param loadReporting how workers report their load: pull (by probes) or silent (not at all)
+     * @param jvmFlags additional flags for the scheduler's JVM
+     * @param freshCallbackConnections each callback uses a new connection
+     * @param historyFile the file for a history of everything that clients and stub workers observe, or null
      */
-    public record Config(String root, int cpu, int workers, int serviceMs, int resultBytes, long targetLatencyMs, int maxSockets, String loadReporting, String jvmFlags,
-            boolean freshCallbackConnections, Path historyFile) {
+    public record Config(String root, int cpu, int workers, int serviceMs, int resultBytes, long targetLatencyMs, int maxSockets, String loadReporting,
+            String jvmFlags, boolean freshCallbackConnections, Path historyFile) {
     }
 
-    /** A DELETE and the next attempt come on two connections, read in either order within a turn of the stand-ins' thread. */
+    /** Events closer than this are unordered: a DELETE and the next attempt use two connections, which the stubs' reactor reads in either order. */
     private static final long ORDER_TOLERANCE_MS = 20;
     private static final String PROCESS_NAME = StubWorkers.SCHEDULER_NAME + "/1";
 
@@ -48,66 +51,68 @@
     private boolean closed;
     private int generatorCount;
 
-    /** Starts all of it. */
-    public LoadTestHarness(Config s) throws IOException, InterruptedException {
-        historyFile = s.historyFile;
+    /** Starts the stub workers and the scheduler. */
+    public LoadTestHarness(Config config) throws IOException, InterruptedException {
+        historyFile = config.historyFile;
         recorder = historyFile == null ? null : new Recorder(historyFile, ruleParameters());
         events = recorder == null ? EventSink.NONE : recorder;
         events.accept(Event.of(Type.LIFE, "", "", PROCESS_NAME).how("start"));
-        stubWorkers = new StubWorkers(workerReactor, s.workers, 64, s.serviceMs * 1_000_000L, s.resultBytes, s.freshCallbackConnections, events);
-        target = TargetProcess.startScheduler(Path.of(s.root), s.cpu, stubWorkers.serveWorkerList(), s.targetLatencyMs, s.maxSockets, s.loadReporting, s.jvmFlags);
+        stubWorkers = new StubWorkers(workerReactor, config.workers, 64, config.serviceMs * 1_000_000L, config.resultBytes,
+            config.freshCallbackConnections, events);
+        target = TargetProcess.startScheduler(Path.of(config.root), config.cpu, stubWorkers.serveWorkerList(), config.targetLatencyMs,
+            config.maxSockets, config.loadReporting, config.jvmFlags);
         stubWorkers.setScheduler(StubWorkers.loopbackAddress(target.port()));
     }
 
-    /** What the bench's own settings say: one class, safe to repeat, three attempts. */
+    /** The rule parameters that match the scheduler's configuration: one class that is safe to repeat, with three attempts. */
     private static RuleLimits ruleParameters() {
-        RuleLimits b = RuleLimits.defaults();
-        return new RuleLimits(true, Set.of(), Map.of(), TargetProcess.MAX_ATTEMPTS, b.drainMs(), b.slackMs(), b.noticeDelayMs(), b.termGraceMs(), b.killDelayMs(),
-            b.coldFactor(), b.coldWindowMs(), ORDER_TOLERANCE_MS);
+        RuleLimits defaults = RuleLimits.defaults();
+        return new RuleLimits(true, Set.of(), Map.of(), TargetProcess.MAX_ATTEMPTS, defaults.drainMs(), defaults.slackMs(), defaults.noticeDelayMs(),
+            defaults.termGraceMs(), defaults.killDelayMs(), defaults.coldFactor(), defaults.coldWindowMs(), ORDER_TOLERANCE_MS);
     }
 
-    /** Loads it for so long and then waits for the answers that are due. */
-    public Step runStep(LoadGenerator.Workload plan, double seconds) throws IOException, InterruptedException {
-        LoadGenerator c = startGenerator(plan);
-        Step step = measure(c, plan, seconds);
-        stopGenerator(c);
+    /** Applies the workload for the given time, then waits for outstanding responses. */
+    public Step runStep(LoadGenerator.Workload workload, double seconds) throws IOException, InterruptedException {
+        LoadGenerator generator = startGenerator(workload);
+        Step step = measure(generator, workload, seconds);
+        stopGenerator(generator);
         return step;
     }
 
-    /** Starts clients that go on until {@link #stopGenerator}. */
-    public LoadGenerator startGenerator(LoadGenerator.Workload plan) {
-        LoadGenerator c = new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(target.port()), plan, "j" + generatorCount++ + "-", events);
-        c.start();
-        return c;
+    /** Starts clients that run until {@link #stopGenerator}. */
+    public LoadGenerator startGenerator(LoadGenerator.Workload workload) {
+        LoadGenerator generator = new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(target.port()), workload, "j" + generatorCount++ + "-", events);
+        generator.start();
+        return generator;
     }
 
-    /** What the next so many seconds come to. */
-    public Step measure(LoadGenerator c, LoadGenerator.Workload plan, double seconds) throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        double cpu = target.cpuSeconds();
+    /** Measures the running workload over the given time. */
+    public Step measure(LoadGenerator generator, LoadGenerator.Workload workload, double seconds) throws IOException, InterruptedException {
+        long startNs = System.nanoTime();
+        double cpuSeconds = target.cpuSeconds();
         long allocated = target.allocatedBytes();
         long probes = stubWorkers.probes();
-        c.takeMeasurements();
+        generator.takeMeasurements();
         Thread.sleep((long) (seconds * 1000));
-        LoadGenerator.Measurements seen = c.takeMeasurements();
-        double s = (System.nanoTime() - from) / 1e9;
+        LoadGenerator.Measurements measurements = generator.takeMeasurements();
+        double elapsedS = (System.nanoTime() - startNs) / 1e9;
         if (!target.isAlive()) {
-            throw new IOException("the scheduler ended: " + target.logTail());
+            throw new IOException("the scheduler exited: " + target.logTail());
         }
-        return Step.of("scheduler", plan.jobsPerSecond(), s, seen, target.cpuSeconds() - cpu, target.residentBytes(),
+        return Step.of("scheduler", workload.jobsPerSecond(), elapsedS, measurements, target.cpuSeconds() - cpuSeconds, target.residentBytes(),
             target.allocatedBytes() - allocated, stubWorkers.probes() - probes);
     }
 
-    /** Ends the clients; those that have no answer after half a minute count as failed. Their number. */
-    public long stopGenerator(LoadGenerator c) throws InterruptedException {
-        for (long end = System.currentTimeMillis() + DRAIN_TIMEOUT_MS; !c.stop() && System.currentTimeMillis() < end;) {
+    /** Stops the clients and returns how many jobs had no response; waits at most 30 s for outstanding ones. */
+    public long stopGenerator(LoadGenerator generator) throws InterruptedException {
+        for (long end = System.currentTimeMillis() + DRAIN_TIMEOUT_MS; !generator.stop() && System.currentTimeMillis() < end;) {
             Thread.sleep(50);
         }
-        LoadGenerator.Measurements rest = c.takeMeasurements();
-        return rest.unanswered;
+        LoadGenerator.Measurements remaining = generator.takeMeasurements();
+        return remaining.unanswered;
     }
 
-    /** The stand-in workers. */
+    /** The stub workers. */
     public StubWorkers stubWorkers() {
         return stubWorkers;
     }
@@ -118,8 +123,8 @@
     }
 
     /**
-     * Ends all of it and judges what was written down; true where no rule was broken or nothing was to be written. What
-     * could not be written whole is not judged, and counts as broken.
+     * Closes the harness and checks the recorded history. Returns true if no rule was violated or nothing was recorded. An
+     * incomplete recording is not checked and counts as a failure.
      */
     public boolean closeAndCheckHistory() throws IOException {
         close();
@@ -127,13 +132,13 @@
             return true;
         }
         if (recorder.failure() != null) {
-            System.out.println(historyFile + ": not judged, " + recorder.failure());
+            System.out.println(historyFile + ": not checked, " + recorder.failure());
             return false;
         }
         return CheckHistory.checkAndPrint(historyFile);
     }
 
-    /** Ends all of it; once is enough. */
+    /** Stops the scheduler, the clients and the stub workers. Further calls have no effect. */
     @Override
     public void close() throws IOException {
         if (closed) {
--- a/lab/src/main/java/hookweir/lab/load/TargetProcess.java
+++ b/lab/src/main/java/hookweir/lab/load/TargetProcess.java
@@ -14,9 +14,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A process under load: a scheduler, started by the very line that operators use, or the echo that it is held against. */
+/** A process under load: a scheduler, started by the same command that operators use, or the {@link Echo} server it is compared with. */
 public final class TargetProcess implements AutoCloseable {
-    /** Attempts that a job may have by the configuration written here. */
+    /** Attempts a job may have under the configuration that {@link #startScheduler} writes. */
     static final int MAX_ATTEMPTS = 3;
 
     private static final long READY_TIMEOUT_MS = 20_000;
@@ -34,14 +34,15 @@
     }
 
     /**
-     * A scheduler by the line 'run' of deploy/balancer.toml, pinned to this processor.
+     * Starts a scheduler by the command 'run' of deploy/balancer.toml, pinned to the given CPU.
      *
-     * @param root the folder that the line is run in
-     * @param cpu the processor, or -1 for any
-     * @param listPort where the list of workers is served
-     * @param aimMs the class's aim, with its deadline twice as long
-     * @param via how workers report their load, as the configuration has it
-     * @param flags further flags of the JVM, later ones win
+     * @param root the folder that the command is run in
+     * @param cpu the CPU, or -1 for any
+     * @param listPort the port that serves the worker list
+     * @param aimMs the target latency of the request class; its deadline is twice as long
+     * @param sockets the setting limits.sockets
+     * @param via how workers report their load: the value of the setting stats.via
+     * @param flags additional flags for the JVM, which override earlier ones
      */
     public static TargetProcess startScheduler(Path root, int cpu, int listPort, long aimMs, int sockets, String via, String flags)
             throws IOException, InterruptedException {
@@ -53,7 +54,7 @@
         return start(root, cpu, run, Map.of("RELAY_CONFIG", config.toString(), "TMPDIR", folder.toString()), port, folder);
     }
 
-    /** The echo of {@link Echo} as a process of its own, with the scheduler's flags but no class data. */
+    /** Starts {@link Echo} in its own process, with the scheduler's JVM flags but without a class data archive. */
     public static TargetProcess startEcho(Path root, int cpu, Path jar) throws IOException, InterruptedException {
         int port = Ports.allocate();
         Path folder = Files.createTempDirectory("hookweir-echo");
@@ -65,12 +66,12 @@
     private static TargetProcess start(Path root, int cpu, String run, Map<String, String> env, int port, Path folder)
             throws IOException, InterruptedException {
         String pinned = (cpu < 0 ? "" : "taskset -c " + cpu + " ") + run;
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", "exec " + pinned).directory(root.toFile());
-        b.environment().putAll(env);
-        b.redirectErrorStream(true).redirectOutput(new File(folder.toFile(), "log"));
-        TargetProcess t = new TargetProcess(b.start(), port, folder);
-        t.awaitReady();
-        return t;
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "exec " + pinned).directory(root.toFile());
+        builder.environment().putAll(env);
+        builder.redirectErrorStream(true).redirectOutput(new File(folder.toFile(), "log"));
+        TargetProcess target = new TargetProcess(builder.start(), port, folder);
+        target.awaitReady();
+        return target;
     }
 
     private void awaitReady() throws IOException, InterruptedException {
@@ -85,13 +86,13 @@
                     return;
                 }
             } catch (IOException e) {
-                continue; // not yet there
+                continue; // not listening yet
             }
         }
-        throw new IOException("the process did not get ready: " + logTail());
+        throw new IOException("the process did not become ready: " + logTail());
     }
 
-    /** What the line 'run' of deploy/balancer.toml executes. */
+    /** The command that 'run' in deploy/balancer.toml executes. */
     public static String runCommand(Path root) throws IOException {
         Matcher line = Pattern.compile("(?m)^run = \"exec (.*?)\"").matcher(Files.readString(root.resolve("deploy/balancer.toml")));
         if (!line.find()) {
@@ -108,19 +109,19 @@
             + "'cancel':true,'retry_after':true,'max_retry_after_us':1000000,'dial_timeout_us':250000,'conn_idle_us':10000000}}}").replace('\'', '"');
     }
 
-    /** Where it listens. */
+    /** The port on which the process listens. */
     public int port() {
         return port;
     }
 
-    /** Processor seconds that it used so far. */
+    /** CPU time used so far, in seconds. */
     public double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
-        String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(f[11]) + Long.parseLong(f[12])) / CLOCK_TICKS_PER_SECOND;
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
     }
 
-    /** Resident bytes now. */
+    /** Current resident memory, in bytes. */
     public long residentBytes() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) {
@@ -130,15 +131,15 @@
         return 0;
     }
 
-    /** Bytes allocated so far, as far as collections have told: what came between the end of each and the next. */
+    /** Bytes allocated up to the last garbage collection, summed from the heap's growth between collections in the GC log. */
     public long allocatedBytes() throws IOException {
         long sum = 0;
-        long after = 0;
+        long usedAfterGc = 0;
         for (String line : Files.readAllLines(directory.resolve("gc.log"))) {
             Matcher m = GC_PAUSE.matcher(line);
             if (m.find()) {
-                sum += toBytes(m.group(1), m.group(2)) - after;
-                after = toBytes(m.group(3), m.group(4));
+                sum += toBytes(m.group(1), m.group(2)) - usedAfterGc;
+                usedAfterGc = toBytes(m.group(3), m.group(4));
             }
         }
         return sum;
@@ -148,17 +149,17 @@
         return Long.parseLong(n) * (unit.equals("K") ? 1 << 10 : 1 << 20);
     }
 
-    /** It runs. */
+    /** Whether the process is running. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Its id, for those who profile it. */
+    /** The process id, for profilers. */
     public long pid() {
         return process.pid();
     }
 
-    /** The last lines that it wrote. */
+    /** The last lines of the process's output. */
     public String logTail() throws IOException {
         List<String> lines = Files.readAllLines(directory.resolve("log"), StandardCharsets.ISO_8859_1);
         return String.join("\n", lines.subList(Math.max(0, lines.size() - 5), lines.size()));
--- a/lab/src/main/java/hookweir/lab/net/HttpConnection.java
+++ b/lab/src/main/java/hookweir/lab/net/HttpConnection.java
@@ -8,8 +8,8 @@
 import java.util.Arrays;
 
 /**
- * One connection of a stand-in or of a client: reads HTTP/1.1 messages that have a length, or none, and writes bytes.
- * Belongs to its {@link Reactor}'s thread.
+ * One connection of a stub or a client: reads HTTP/1.1 messages with a Content-Length or without a body, and writes bytes.
+ * Used only on its {@link Reactor}'s thread.
  */
 public abstract class HttpConnection {
     private static final byte[] HEAD_END = {'\r', '\n', '\r', '\n'};
@@ -22,15 +22,15 @@
     private boolean closed;
     private boolean newOutput;
 
-    /** A whole message came: its head as text, and its body. */
+    /** Called for each complete message, with its head as text and its body. */
     protected abstract void onMessage(String head, byte[] body);
 
-    /** What was given to write begins to leave now: the connection is up. */
+    /** Called when newly written output is about to be sent: the connection is established. */
     protected void onSending() {
-        // most don't mind
+        // ignored by default
     }
 
-    /** The connection is over, or never came up. */
+    /** Called once when the connection is closed or could not be established. */
     protected abstract void onClosed();
 
     void attach(SelectionKey newKey, SocketChannel newChannel) {
@@ -38,11 +38,11 @@
         channel = newChannel;
     }
 
-    /** Writes the bytes after all before them. */
+    /** Writes bytes after all earlier output. */
     public final void write(byte[] bytes) {
         if (output.hasRemaining()) {
-            ByteBuffer more = ByteBuffer.allocate(output.remaining() + bytes.length);
-            output = more.put(output).put(bytes).flip();
+            ByteBuffer combined = ByteBuffer.allocate(output.remaining() + bytes.length);
+            output = combined.put(output).put(bytes).flip();
         } else {
             output = ByteBuffer.wrap(bytes);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Writes text. */
+    /** Writes text in ISO 8859-1. */
     public final void write(String text) {
         write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -115,7 +115,7 @@
         return value == null ? 0 : Integer.parseInt(value);
     }
 
-    /** The value of a header, or null. */
+    /** Returns the value of a header, or null. */
     public static String header(String head, String name) {
         int n = name.length();
         for (int at = head.indexOf("\r\n"); at >= 0 && at + 2 + n < head.length(); at = head.indexOf("\r\n", at + 2)) {
@@ -126,7 +126,7 @@
         return null;
     }
 
-    /** Ends the connection; {@link #onClosed} is called once. */
+    /** Closes the connection; {@link #onClosed} is called once. */
     public final void close() {
         if (!closed) {
             closed = true;
@@ -135,13 +135,13 @@
                     channel.close();
                 }
             } catch (IOException e) {
-                closed = true; // it is over either way
+                closed = true; // it counts as closed either way
             }
             onClosed();
         }
     }
 
-    /** It is over. */
+    /** Whether the connection is closed. */
     public final boolean isClosed() {
         return closed;
     }
--- a/lab/src/main/java/hookweir/lab/net/Reactor.java
+++ b/lab/src/main/java/hookweir/lab/net/Reactor.java
@@ -16,8 +16,8 @@
 import java.util.function.Supplier;
 
 /**
- * One thread that owns sockets and timers of stand-ins or clients; all their state belongs to it. Leaner than a server
- * library, as a generator must be many times faster than what it measures. Loopback only.
+ * A selector thread that owns the sockets, timers and all state of stubs or clients. It does less than a server library, as a
+ * load generator must be many times faster than what it measures. Loopback only.
  */
 public final class Reactor implements AutoCloseable {
     private static final int BACKLOG = 1024;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A thread of this name, started. */
+    /** Starts a thread of this name. */
     public Reactor(String name) throws IOException {
         selector = Selector.open();
         thread = new Thread(this::run, name);
@@ -46,26 +46,26 @@
         thread.start();
     }
 
-    /** Runs the task on the thread. Any thread may call. */
+    /** Runs the task on the reactor's thread. May be called from any thread. */
     public void post(Runnable task) {
         postedTasks.add(task);
         selector.wakeup();
     }
 
-    /** Runs the task at that time of {@link System#nanoTime}. On the thread. */
-    public void schedule(long ns, Runnable task) {
-        timers.add(new Timer(ns, timerCount++, task));
+    /** Runs the task at the given {@link System#nanoTime}. Must be called on the reactor's thread. */
+    public void schedule(long atNs, Runnable task) {
+        timers.add(new Timer(atNs, timerCount++, task));
     }
 
-    /** Listens on a free loopback port, or on that one; each connection gets a peer of its own. The port. */
-    public int listen(int port, Supplier<HttpConnection> peers) throws IOException {
+    /** Listens on the loopback port, or on any free one for 0, with a new connection object per connection; returns the port. */
+    public int listen(int port, Supplier<HttpConnection> connections) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         server.configureBlocking(false);
         post(() -> {
             try {
-                server.register(selector, SelectionKey.OP_ACCEPT, peers);
+                server.register(selector, SelectionKey.OP_ACCEPT, connections);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -73,20 +73,20 @@
         return ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** Connects the peer; it hears of it by {@link HttpConnection#onClosed} where that fails. On the thread. */
-    public void connect(InetSocketAddress to, HttpConnection peer) {
+    /** Connects; {@link HttpConnection#onClosed} is called if that fails. Must be called on the reactor's thread. */
+    public void connect(InetSocketAddress to, HttpConnection connection) {
         try {
             SocketChannel c = SocketChannel.open();
             c.configureBlocking(false);
             c.setOption(StandardSocketOptions.TCP_NODELAY, true);
             boolean up = c.connect(to);
-            SelectionKey key = c.register(selector, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, peer);
-            peer.attach(key, c);
+            SelectionKey key = c.register(selector, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, connection);
+            connection.attach(key, c);
             if (up) {
-                peer.flush();
+                connection.flush();
             }
         } catch (IOException e) {
-            peer.close();
+            connection.close();
         }
     }
 
@@ -110,7 +110,7 @@
         }
         long waitNs = timers.isEmpty() ? 100_000_000 : timers.peek().atNs - System.nanoTime();
         if (waitNs < 1_000_000) {
-            selector.selectNow(); // a schedule finer than the wait's grain is kept by turning
+            selector.selectNow(); // polls, as select() can only wait for whole milliseconds
         } else {
             selector.select(waitNs / 1_000_000);
         }
@@ -129,35 +129,35 @@
             if (c != null) {
                 c.configureBlocking(false);
                 c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                HttpConnection peer = (HttpConnection) ((Supplier<?>) key.attachment()).get();
-                peer.attach(c.register(selector, SelectionKey.OP_READ, peer), c);
+                HttpConnection connection = (HttpConnection) ((Supplier<?>) key.attachment()).get();
+                connection.attach(c.register(selector, SelectionKey.OP_READ, connection), c);
             }
             return;
         }
-        HttpConnection peer = (HttpConnection) key.attachment();
+        HttpConnection connection = (HttpConnection) key.attachment();
         try {
             if (key.isConnectable() && ((SocketChannel) key.channel()).finishConnect()) {
                 key.interestOps(SelectionKey.OP_READ);
-                peer.flush();
+                connection.flush();
             }
             if (key.isValid() && key.isWritable()) {
-                peer.flush();
+                connection.flush();
             }
             if (key.isValid() && key.isReadable()) {
                 readBuffer.clear();
                 int n = ((SocketChannel) key.channel()).read(readBuffer);
                 if (n < 0) {
-                    peer.close();
+                    connection.close();
                 } else {
-                    peer.receive(readBuffer.flip());
+                    connection.receive(readBuffer.flip());
                 }
             }
         } catch (IOException e) {
-            peer.close();
+            connection.close();
         }
     }
 
-    /** Ends the thread and closes its sockets. */
+    /** Stops the thread and closes its sockets. */
     @Override
     public void close() throws IOException {
         stopped = true;
--- a/lab/src/main/java/hookweir/lab/report/LoadReport.java
+++ b/lab/src/main/java/hookweir/lab/report/LoadReport.java
@@ -13,7 +13,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Keeps rows as JSON and as a chart. */
+/** Writes the results of load runs as JSON and as charts. */
 public final class LoadReport {
     private static final int WIDTH_PX = 1000;
     private static final int HEIGHT_PX = 600;
@@ -21,14 +21,14 @@
     private LoadReport() {
     }
 
-    /** Writes NAME.json: the rows with what was measured. */
+    /** Writes NAME.json: the settings of the run and its measured steps. */
     public static void writeJson(Path folder, String name, Map<String, ?> setting, List<Step> steps) throws IOException {
         Files.createDirectories(folder);
         new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
             .writeValue(folder.resolve(name + ".json").toFile(), Map.of("setting", setting, "steps", steps));
     }
 
-    /** Writes NAME.png: latencies against the rate served. */
+    /** Writes NAME.png: latency percentiles against goodput. */
     public static void writeLatencyChart(Path folder, String name, String title, List<Step> measured) throws IOException {
         if (measured.isEmpty()) {
             return;
@@ -44,7 +44,7 @@
         BitmapEncoder.saveBitmap(chart, folder.resolve(name + ".png").toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** Writes NAME.png: resident memory and rate over time, a row a minute. */
+    /** Writes NAME.png: resident memory over time, with one step per minute. */
     public static void writeMemoryChart(Path folder, String name, String title, List<Step> steps) throws IOException {
         XYChart chart = new XYChartBuilder().width(WIDTH_PX).height(HEIGHT_PX).title(title).xAxisTitle("minute").yAxisTitle("resident MB").build();
         double[] x = new double[steps.size()];
--- a/lab/src/main/java/hookweir/lab/standin/StubWorkers.java
+++ b/lab/src/main/java/hookweir/lab/standin/StubWorkers.java
@@ -21,14 +21,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Stand-in workers, each on a port of its own, that take every job and end it after a fixed time by a call-back, and the
- * list of them. They follow the protocol and check it: an attempt of a job that they hold or held counts as a breach.
+ * Stub workers, each on its own port, that accept every job and report its end by a callback after a fixed time, and a stub
+ * list service that lists them. They count protocol violations: a second attempt of a job that any of them has received.
  */
 public final class StubWorkers {
     private static final long HEARTBEAT_NS = 2_000_000_000L;
     private static final int MAX_CALLBACK_ATTEMPTS = 10;
     private static final long CALLBACK_RETRY_DELAY_NS = 100_000_000L;
-    /** The one scheduler round which they stand, as histories name it. */
+    /** The name of the scheduler under test in histories. */
     public static final String SCHEDULER_NAME = "n1";
 
     private static final String EMPTY_BODY = "Content-Length: 0\r\n\r\n";
@@ -42,10 +42,10 @@
     private final Set<String> receivedJobIds = new HashSet<>();
     private final EventSink events;
     private final boolean freshCallbackConnections;
-    /** From a job's end to the answer to its call-back, in µs. */
+    /** Time from a job's end to the response to its callback, in µs. */
     private final Histogram callbackLatencyUs = new ConcurrentHistogram(TimeUnit.MINUTES.toMicros(2), 3);
     private InetSocketAddress scheduler;
-    private volatile boolean setHangJobs;
+    private volatile boolean hangJobs;
     private volatile long jobsStarted;
     private volatile long probes;
     private volatile long probeBytes;
@@ -56,37 +56,41 @@
     private volatile long droppedCallbacks;
 
     /**
-     * So many workers, of so many slots in their reports.
+     * Starts the workers.
      *
-     * @param serviceNs from taking a job to telling its end, in ns
-     * @param resultBytes length of each result
-     * @param freshCalls each call-back goes on a connection of its own, as some workers' libraries do
-     * @param witness hears of all that they see
+     * @param reactor the thread on which they run
+     * @param workers the number of workers
+     * @param slots the free slots that an idle worker reports
+     * @param serviceNs time from accepting a job to reporting its end, in ns
+     * @param resultBytes the length of each job's result
+     * @param freshCallbackConnections each callback uses a new connection, as some workers' HTTP libraries do
+     * @param events receives everything that the workers observe
      */
-    public StubWorkers(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCalls, EventSink witness) throws IOException {
+    public StubWorkers(Reactor reactor, int workers, int slots, long serviceNs, int resultBytes, boolean freshCallbackConnections, EventSink events)
+            throws IOException {
         this.reactor = reactor;
-        this.events = witness;
-        this.freshCallbackConnections = freshCalls;
+        this.events = events;
+        this.freshCallbackConnections = freshCallbackConnections;
         this.serviceNs = serviceNs;
         this.slots = slots;
         result = "r".repeat(resultBytes).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < workers; i++) {
             String name = String.format("s-%08x", i);
-            int[] busy = new int[1];
-            Set<String> had = new HashSet<>();
-            ports.add(reactor.listen(0, () -> new WorkerConnection(name, busy, had)));
-            if (witness.isEnabled()) {
-                witness.accept(Event.location(name, "a", 0));
+            int[] busySlots = new int[1];
+            Set<String> receivedIds = new HashSet<>();
+            ports.add(reactor.listen(0, () -> new WorkerConnection(name, busySlots, receivedIds)));
+            if (events.isEnabled()) {
+                events.accept(Event.location(name, "a", 0));
             }
         }
     }
 
-    /** Serves the list of these workers; the port. */
+    /** Starts a list service that lists these workers; returns its port. */
     public int serveWorkerList() throws IOException {
         return reactor.listen(0, ListConnection::new);
     }
 
-    /** Where the ends of jobs are told. */
+    /** Sets the scheduler that callbacks are sent to. */
     public void setScheduler(InetSocketAddress newScheduler) {
         reactor.post(() -> {
             scheduler = newScheduler;
@@ -95,12 +99,12 @@
         });
     }
 
-    /** While on, workers take jobs and never end them. Any thread. */
+    /** While on, workers accept jobs and never end them. May be called from any thread. */
     public void setHangJobs(boolean on) {
-        setHangJobs = on;
+        hangJobs = on;
     }
 
-    /** Jobs begun so far. */
+    /** Attempts received so far. */
     public long jobsStarted() {
         return jobsStarted;
     }
@@ -110,7 +114,7 @@
         return probes;
     }
 
-    /** Bytes of the probes' requests so far. */
+    /** Bytes of the probe requests so far. */
     public long probeBytes() {
         return probeBytes;
     }
@@ -120,32 +124,32 @@
         return connections;
     }
 
-    /** Of the connections to workers, those whose first call was a probe or a notice. */
+    /** Connections to workers whose first request was a probe or a cancellation. */
     public long probeConnections() {
         return probeConnections;
     }
 
-    /** Connections to workers over which anything was called so far. */
+    /** Connections to workers that carried at least one request. */
     public long usedConnections() {
         return usedConnections;
     }
 
-    /** Attempts of a job that some worker had already. */
+    /** Attempts of a job that a worker had received before. */
     public long repeatedAttempts() {
         return repeatedAttempts;
     }
 
-    /** From each job's end to the answer to its call-back, in µs. */
+    /** Time from each job's end to the response to its callback, in µs. */
     public Histogram callbackLatencyUs() {
         return callbackLatencyUs;
     }
 
-    /** Call-backs that got no answer. */
+    /** Callbacks abandoned without a response. */
     public long droppedCallbacks() {
         return droppedCallbacks;
     }
 
-    /** The list of them, in discovery's form. */
+    /** The worker list, in the list service's JSON format. */
     public String workerListJson() {
         StringBuilder out = new StringBuilder("{\"version\":1,\"full\":true,\"servers\":[");
         for (int i = 0; i < ports.size(); i++) {
@@ -158,14 +162,14 @@
     private final class WorkerConnection extends HttpConnection {
         private final String name;
         private final int[] busySlots;
-        /** Ids that this worker got, where somebody writes them down. */
+        /** Ids of the jobs that this worker received, kept only if events are recorded. */
         private final Set<String> receivedIds;
         private boolean counted;
 
-        WorkerConnection(String name, int[] busy, Set<String> had) {
+        WorkerConnection(String name, int[] busySlots, Set<String> receivedIds) {
             this.name = name;
-            this.busySlots = busy;
-            this.receivedIds = had;
+            this.busySlots = busySlots;
+            this.receivedIds = receivedIds;
             connections++;
         }
 
@@ -188,8 +192,8 @@
                 }
                 busySlots[0]++;
                 write("HTTP/1.1 202 Accepted\r\n" + EMPTY_BODY);
-                if (setHangJobs) {
-                    return; // taken, and never ended
+                if (hangJobs) {
+                    return; // accepted, and never ended
                 }
                 if (serviceNs == 0) {
                     finishJob(id);
@@ -216,25 +220,25 @@
                 events.accept(Event.end(id, name, "done", Checksums.body(result)));
             }
             String head = "{\"id\":\"" + id + "\",\"from\":\"" + name + "\",\"state\":\"done\",\"result\":\"";
-            CallbackConnection caller = freshCallbackConnections ? null : idleCallbackConnections.pollFirst();
-            while (caller != null && caller.isClosed()) {
-                caller = idleCallbackConnections.pollFirst();
+            CallbackConnection connection = freshCallbackConnections ? null : idleCallbackConnections.pollFirst();
+            while (connection != null && connection.isClosed()) {
+                connection = idleCallbackConnections.pollFirst();
             }
-            if (caller == null) {
-                caller = new CallbackConnection();
-                reactor.connect(scheduler, caller);
+            if (connection == null) {
+                connection = new CallbackConnection();
+                reactor.connect(scheduler, connection);
             }
-            caller.jobEndNs = System.nanoTime();
-            caller.send(id, name, head, result);
+            connection.jobEndNs = System.nanoTime();
+            connection.send(id, name, head, result);
         }
 
         @Override
         protected void onClosed() {
-            // its jobs end all the same, as real ones do
+            // its jobs still end, as those of real workers do
         }
     }
 
-    /** A connection for call-backs. */
+    /** A connection for callbacks. */
     private final class CallbackConnection extends HttpConnection {
         private boolean awaitingResponse;
         private int failedAttempts;
@@ -244,11 +248,11 @@
         private String head;
         private byte[] result;
 
-        void send(String ofId, String ofWorker, String newHead, byte[] newText) {
-            id = ofId;
-            worker = ofWorker;
+        void send(String jobId, String workerName, String newHead, byte[] newResult) {
+            id = jobId;
+            worker = workerName;
             head = newHead;
-            result = newText;
+            result = newResult;
             awaitingResponse = true;
             write("POST /callback HTTP/1.1\r\nHost: s\r\nContent-Type: application/json\r\nContent-Length: " + (head.length() + result.length + 2)
                 + "\r\n\r\n" + head + new String(result, StandardCharsets.US_ASCII) + "\"}");
@@ -272,13 +276,13 @@
         @Override
         protected void onClosed() {
             if (awaitingResponse && ++failedAttempts < MAX_CALLBACK_ATTEMPTS) {
-                // As the protocol has it: each call until it gets an answer, ten times at most.
-                CallbackConnection again = new CallbackConnection();
-                again.failedAttempts = failedAttempts;
-                again.jobEndNs = jobEndNs;
+                // As the protocol requires: each callback is repeated until it gets a response, at most ten times.
+                CallbackConnection retry = new CallbackConnection();
+                retry.failedAttempts = failedAttempts;
+                retry.jobEndNs = jobEndNs;
                 reactor.schedule(System.nanoTime() + CALLBACK_RETRY_DELAY_NS, () -> {
-                    reactor.connect(scheduler, again);
-                    again.send(id, worker, head, result);
+                    reactor.connect(scheduler, retry);
+                    retry.send(id, worker, head, result);
                 });
             } else if (awaitingResponse) {
                 droppedCallbacks++;
@@ -286,16 +290,16 @@
         }
     }
 
-    /** Somebody who asks for the list. */
+    /** A connection of a client of the list service. */
     private final class ListConnection extends HttpConnection {
         @Override
         protected void onMessage(String head, byte[] body) {
-            String whole = workerListJson();
+            String workerList = workerListJson();
             if (head.contains("watch=1")) {
-                write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(whole));
+                write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(workerList));
                 scheduleHeartbeat();
             } else {
-                write("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
+                write("HTTP/1.1 200 OK\r\nContent-Length: " + workerList.length() + "\r\n\r\n" + workerList);
             }
         }
 
@@ -314,7 +318,7 @@
 
         @Override
         protected void onClosed() {
-            // nothing is kept of it
+            // no state to release
         }
     }
 
--- a/lab/src/main/java/hookweir/lab/trace/Alibaba2018.java
+++ b/lab/src/main/java/hookweir/lab/trace/Alibaba2018.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * The cluster trace of 2018, table batch_task: no header, 9 columns, seconds; each row stands for instance_num runs of a task.
+ * Reads table batch_task of the cluster trace of 2018: no header, 9 columns, times in seconds. Each row stands for instance_num
+ * runs of a task.
  * Source: the publisher's schema file of cluster-trace-v2018.
  */
 final class Alibaba2018 implements RowReader {
@@ -14,7 +15,7 @@
     private static final int END = 6;
     private static final long US_PER_S = 1_000_000;
     private static final long MAX_SECONDS = Long.MAX_VALUE / US_PER_S;
-    /** A row that stands for more runs than this is taken for broken. */
+    /** A row with more instances is treated as malformed. */
     private static final long MAX_INSTANCES = 1_000_000;
 
     @Override
@@ -28,25 +29,25 @@
     }
 
     @Override
-    public void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException {
-        long instances = (long) Math.ceil(f.micros(INSTANCES, 1));
-        String job = f.text(JOB);
-        long start = f.wholeNumber(START, 0);
+    public void readRow(RowFields fields, RowStatistics statistics, TraceJob.Sink sink) throws IOException, RowFields.UnusableRowException {
+        long instances = (long) Math.ceil(fields.micros(INSTANCES, 1));
+        String job = fields.text(JOB);
+        long start = fields.wholeNumber(START, 0);
         if (start == 0) {
             throw new RowFields.UnusableRowException(SkipReason.BEFORE_TRACE);
         }
-        if (f.textOrDefault(END, "0").equals("0")) {
-            throw new RowFields.UnusableRowException(SkipReason.NO_END); // it still waits or runs
+        if (fields.textOrDefault(END, "0").equals("0")) {
+            throw new RowFields.UnusableRowException(SkipReason.NO_END); // the task is still waiting or running
         }
-        long end = f.wholeNumber(END, 0);
+        long end = fields.wholeNumber(END, 0);
         if (instances < 1 || instances > MAX_INSTANCES || end < start || end > MAX_SECONDS) {
             throw new RowFields.UnusableRowException(SkipReason.OUT_OF_RANGE);
         }
-        tally.used++;
-        tally.recordStart(start * US_PER_S);
+        statistics.used++;
+        statistics.recordStart(start * US_PER_S);
         long key = Hashes.of(job);
         for (long i = 0; i < instances; i++) {
-            to.accept(new TraceJob(start * US_PER_S, tally.normalizeDuration((end - start) * US_PER_S), key, 0));
+            sink.accept(new TraceJob(start * US_PER_S, statistics.normalizeDuration((end - start) * US_PER_S), key, 0));
         }
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Azure2021.java
+++ b/lab/src/main/java/hookweir/lab/trace/Azure2021.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * The functions trace of 2021: a header app,func,end_timestamp,duration; seconds. A run starts at its end less its duration.
+ * Reads the functions trace of 2021: header app,func,end_timestamp,duration; times in seconds. The start of a run is its end
+ * minus its duration.
  * Source: the publisher's page on AzureFunctionsInvocationTrace2021.
  */
 final class Azure2021 implements RowReader {
@@ -22,11 +23,12 @@
     }
 
     @Override
-    public void checkHeader(RowFields names) throws IOException {
-        String[] want = HEADER.split(",");
-        for (int i = 0; i < want.length; i++) {
-            if (!names.textOrDefault(i, "").equals(want[i])) {
-                throw new InvalidTraceException(names.location() + ": column " + (i + 1) + " is '" + names.textOrDefault(i, "") + "', not '" + want[i] + "' as in " + name());
+    public void checkHeader(RowFields header) throws IOException {
+        String[] expected = HEADER.split(",");
+        for (int i = 0; i < expected.length; i++) {
+            if (!header.textOrDefault(i, "").equals(expected[i])) {
+                throw new InvalidTraceException(header.location() + ": column " + (i + 1) + " is '" + header.textOrDefault(i, "") + "', not '" + expected[i]
+                    + "' as in " + name());
             }
         }
     }
@@ -37,18 +39,18 @@
     }
 
     @Override
-    public void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException {
-        String function = f.text(0) + "/" + f.text(1);
-        long end = f.micros(2, US_PER_S);
-        long duration = f.micros(3, US_PER_S);
+    public void readRow(RowFields fields, RowStatistics statistics, TraceJob.Sink sink) throws IOException, RowFields.UnusableRowException {
+        String function = fields.text(0) + "/" + fields.text(1);
+        long end = fields.micros(2, US_PER_S);
+        long duration = fields.micros(3, US_PER_S);
         if (duration < 0 || end < 0) {
             throw new RowFields.UnusableRowException(SkipReason.OUT_OF_RANGE);
         }
         if (end - duration < 0) {
             throw new RowFields.UnusableRowException(SkipReason.BEFORE_TRACE);
         }
-        tally.used++;
-        tally.recordStart(end - duration);
-        to.accept(new TraceJob(end - duration, tally.normalizeDuration(duration), Hashes.of(function), 0));
+        statistics.used++;
+        statistics.recordStart(end - duration);
+        sink.accept(new TraceJob(end - duration, statistics.normalizeDuration(duration), Hashes.of(function), 0));
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/Google2011.java
+++ b/lab/src/main/java/hookweir/lab/trace/Google2011.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 
 /**
- * The cluster-usage trace of 2011 (format v2), table task_events: no header, 13 columns, times in µs. A run goes from a
- * SCHEDULE to the next end of the same task. Source: Reiss, Wilkes, Hellerstein, "Google cluster-usage traces: format +
+ * Reads table task_events of the cluster-usage trace of 2011 (format v2): no header, 13 columns, times in µs. A run lasts from
+ * a SCHEDULE event to the next end event of the same task. Source: Reiss, Wilkes, Hellerstein, "Google cluster-usage traces: format +
  * schema", 2011, revised 2014.
  */
 final class Google2011 implements RowReader {
@@ -18,7 +18,7 @@
     private static final int PRIORITY = 8;
     private static final int SCHEDULE = 1;
 
-    /** A run that has started. */
+    /** A run that has started and not ended, with the row that started it. */
     private record StartedRun(long startUs, int priority, boolean outOfOrder, String file, long line) {
         String location() {
             return file + ":" + line;
@@ -38,56 +38,57 @@
     }
 
     @Override
-    public void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException {
-        long atUs = f.wholeNumber(TIME, 0);
-        long job = f.wholeNumber(JOB, 0);
-        long task = f.wholeNumber(TASK, 0);
-        long event = f.wholeNumber(EVENT, 0);
+    public void readRow(RowFields fields, RowStatistics statistics, TraceJob.Sink sink) throws IOException, RowFields.UnusableRowException {
+        long timeUs = fields.wholeNumber(TIME, 0);
+        long job = fields.wholeNumber(JOB, 0);
+        long task = fields.wholeNumber(TASK, 0);
+        long event = fields.wholeNumber(EVENT, 0);
         long key = Hashes.mix(job);
         long run = Hashes.mix(key ^ task);
         switch ((int) Math.min(event, 9)) {
-            case 0, 7, 8 -> tally.ignored++; // SUBMIT, UPDATE_PENDING, UPDATE_RUNNING
+            case 0, 7, 8 -> statistics.ignored++; // SUBMIT, UPDATE_PENDING, UPDATE_RUNNING
             case SCHEDULE -> {
-                if (atUs == Long.MAX_VALUE) {
+                if (timeUs == Long.MAX_VALUE) {
                     throw new RowFields.UnusableRowException(SkipReason.AFTER_TRACE);
                 }
-                StartedRun before = startedRuns.put(run, new StartedRun(atUs, (int) Math.min(Integer.MAX_VALUE, priority(f)), tally.isOutOfOrder(atUs), f.file(), f.line()));
-                if (before != null) {
-                    tally.recordSkip(before.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, before.location());
+                StartedRun replaced = startedRuns.put(run, new StartedRun(timeUs, (int) Math.min(Integer.MAX_VALUE, priority(fields)),
+                    statistics.isOutOfOrder(timeUs), fields.file(), fields.line()));
+                if (replaced != null) {
+                    statistics.recordSkip(replaced.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, replaced.location());
                 }
             }
             case 2, 3, 4, 5, 6 -> { // EVICT, FAIL, FINISH, KILL, LOST
-                if (atUs == Long.MAX_VALUE) {
+                if (timeUs == Long.MAX_VALUE) {
                     throw new RowFields.UnusableRowException(SkipReason.AFTER_TRACE);
                 }
-                StartedRun o = startedRuns.remove(run);
-                if (o == null) {
-                    throw new RowFields.UnusableRowException(atUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_START);
+                StartedRun started = startedRuns.remove(run);
+                if (started == null) {
+                    throw new RowFields.UnusableRowException(timeUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_START);
                 }
-                if (o.startUs == 0) {
-                    tally.recordSkip(SkipReason.BEFORE_TRACE, o.location());
+                if (started.startUs == 0) {
+                    statistics.recordSkip(SkipReason.BEFORE_TRACE, started.location());
                     throw new RowFields.UnusableRowException(SkipReason.BEFORE_TRACE);
                 }
-                if (atUs < o.startUs) {
-                    tally.recordSkip(SkipReason.OUT_OF_RANGE, o.location());
+                if (timeUs < started.startUs) {
+                    statistics.recordSkip(SkipReason.OUT_OF_RANGE, started.location());
                     throw new RowFields.UnusableRowException(SkipReason.OUT_OF_RANGE);
                 }
-                tally.used += 2; // its start and its end
-                tally.outOfOrder += o.outOfOrder ? 1 : 0;
-                to.accept(new TraceJob(o.startUs, tally.normalizeDuration(atUs - o.startUs), key, o.priority));
+                statistics.used += 2; // its start row and its end row
+                statistics.outOfOrder += started.outOfOrder ? 1 : 0;
+                sink.accept(new TraceJob(started.startUs, statistics.normalizeDuration(timeUs - started.startUs), key, started.priority));
             }
             default -> throw new RowFields.UnusableRowException(SkipReason.UNKNOWN_EVENT);
         }
     }
 
-    private static long priority(RowFields f) throws RowFields.UnusableRowException {
-        return f.textOrDefault(PRIORITY, "").isEmpty() ? 0 : f.wholeNumber(PRIORITY, 0);
+    private static long priority(RowFields fields) throws RowFields.UnusableRowException {
+        return fields.textOrDefault(PRIORITY, "").isEmpty() ? 0 : fields.wholeNumber(PRIORITY, 0);
     }
 
     @Override
-    public void finish(RowStatistics tally) {
+    public void finish(RowStatistics statistics) {
         for (LongObjectCursor<StartedRun> c : startedRuns) {
-            tally.recordSkip(c.value.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, c.value.location());
+            statistics.recordSkip(c.value.startUs == 0 ? SkipReason.BEFORE_TRACE : SkipReason.NO_END, c.value.location());
         }
         startedRuns.clear();
     }
--- a/lab/src/main/java/hookweir/lab/trace/Hashes.java
+++ b/lab/src/main/java/hookweir/lab/trace/Hashes.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** 64-bit hashes of the names and numbers that a trace has. */
+/** 64-bit hashes of the names and numbers in a trace. */
 final class Hashes {
     private Hashes() {
     }
--- a/lab/src/main/java/hookweir/lab/trace/InvalidTraceException.java
+++ b/lab/src/main/java/hookweir/lab/trace/InvalidTraceException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A trace that can't be read at all, or not to its end; the message names the file and the reason. */
+/** Thrown for a trace that cannot be read, or not to its end; the message names the file and the reason. */
 final class InvalidTraceException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/hookweir/lab/trace/JobSorter.java
+++ b/lab/src/main/java/hookweir/lab/trace/JobSorter.java
@@ -14,11 +14,11 @@
 import java.util.PriorityQueue;
 
 /**
- * Sorts jobs by their start in bounded memory: runs of {@link #MAX_JOBS_IN_MEMORY} are sorted and written to a folder of the system's for
- * temporary files, then merged. Jobs of one instant come in an order that does not depend on the order of their rows.
+ * Sorts jobs by their start in bounded memory: runs of {@link #MAX_JOBS_IN_MEMORY} jobs are sorted, written to a temporary
+ * directory and merged. Jobs with the same start come in an order that does not depend on the order of their rows.
  */
 final class JobSorter implements TraceJob.Sink, AutoCloseable {
-    /** Jobs held in memory at most: some 30 MB. */
+    /** The maximum number of jobs in memory, about 30 MB. */
     static final int MAX_JOBS_IN_MEMORY = 500_000;
 
     private final int maxJobsInMemory;
@@ -66,7 +66,7 @@
         buffer.clear();
     }
 
-    /** One sorted run, at its next job. */
+    /** Reads one sorted run, with its next job at hand. */
     private static final class RunReader implements Comparable<RunReader> {
         private final DataInputStream in;
         private TraceJob next;
@@ -91,29 +91,29 @@
         }
     }
 
-    /** Hands on all jobs in order. */
-    void forEachSorted(TraceJob.Sink to) throws IOException {
+    /** Passes all jobs to the sink in order. */
+    void forEachSorted(TraceJob.Sink sink) throws IOException {
         if (runFiles.isEmpty()) {
             Collections.sort(buffer);
             for (TraceJob j : buffer) {
-                to.accept(j);
+                sink.accept(j);
             }
             return;
         }
         spill();
         PriorityQueue<RunReader> heap = new PriorityQueue<>();
         for (Path p : runFiles) {
-            RunReader r = new RunReader(p);
-            if (r.next != null) {
-                heap.add(r);
+            RunReader run = new RunReader(p);
+            if (run.next != null) {
+                heap.add(run);
             }
         }
         while (!heap.isEmpty()) {
-            RunReader r = heap.poll();
-            to.accept(r.next);
-            r.advance();
-            if (r.next != null) {
-                heap.add(r);
+            RunReader run = heap.poll();
+            sink.accept(run.next);
+            run.advance();
+            if (run.next != null) {
+                heap.add(run);
             }
         }
     }
--- a/lab/src/main/java/hookweir/lab/trace/RowFields.java
+++ b/lab/src/main/java/hookweir/lab/trace/RowFields.java
@@ -4,11 +4,11 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 
-/** The values of one row, with the reason where one can't be had. */
+/** Parses the values of one row; a value that can't be used is reported with the reason. */
 final class RowFields {
     private static final BigDecimal MAX_US = BigDecimal.valueOf(Long.MAX_VALUE);
 
-    /** A value that is no good. */
+    /** Thrown for a row that yields no job, with the reason. */
     static final class UnusableRowException extends Exception {
         private static final long serialVersionUID = 1L;
         final SkipReason reason;
@@ -43,7 +43,7 @@
         return row.getFieldCount();
     }
 
-    /** A value, which must be there. */
+    /** A value, which must be present. */
     String text(int column) throws UnusableRowException {
         if (column >= row.getFieldCount()) {
             throw new UnusableRowException(SkipReason.MISSING_COLUMN);
@@ -58,17 +58,17 @@
         return v;
     }
 
-    /** A value, or nothing. */
-    String textOrDefault(int column, String otherwise) {
-        return column < row.getFieldCount() && !row.getField(column).isBlank() ? row.getField(column).strip() : otherwise;
+    /** A value, or the default if it is missing or blank. */
+    String textOrDefault(int column, String defaultValue) {
+        return column < row.getFieldCount() && !row.getField(column).isBlank() ? row.getField(column).strip() : defaultValue;
     }
 
-    /** A whole number of at least that. */
-    long wholeNumber(int column, long least) throws UnusableRowException {
+    /** A whole number that is at least the given minimum. */
+    long wholeNumber(int column, long minimum) throws UnusableRowException {
         String v = text(column);
         try {
             long n = Long.parseLong(v);
-            if (n < least) {
+            if (n < minimum) {
                 throw new UnusableRowException(SkipReason.OUT_OF_RANGE);
             }
             return n;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A decimal number of units, in µs, rounded to the nearest. */
+    /** A decimal number in the given unit, converted to µs and rounded to the nearest. */
     long micros(int column, long unitUs) throws UnusableRowException {
         String v = text(column);
         try {
--- a/lab/src/main/java/hookweir/lab/trace/RowReader.java
+++ b/lab/src/main/java/hookweir/lab/trace/RowReader.java
@@ -2,29 +2,29 @@
 
 import java.io.IOException;
 
-/** Reads the rows of one published format; all files of a trace go through one. */
+/** Reads the rows of one published format. A single instance reads all files of a trace. */
 interface RowReader {
-    /** The form's name. */
+    /** The name of the format. */
     String name();
 
-    /** The first row of each file names the columns. */
+    /** Whether the first row of each file names the columns. */
     default boolean hasHeader() {
         return false;
     }
 
-    /** A row of so many columns is none of this format. */
+    /** Whether a row with this number of columns is too short for the format. */
     boolean hasTooFewColumns(int columns);
 
-    /** The columns of a file, where it has a header. */
-    default void checkHeader(RowFields names) throws IOException {
+    /** Checks the header row of a file, if the format has one. */
+    default void checkHeader(RowFields header) throws IOException {
         throw new IllegalStateException(name() + " has no header");
     }
 
-    /** A data row of enough columns: counts itself as used, ignored or skipped in the tally, except where it waits for another row. */
-    void readRow(RowFields f, RowStatistics tally, TraceJob.Sink to) throws IOException, RowFields.UnusableRowException;
+    /** Reads a data row with enough columns, and counts it as used, ignored or skipped unless it has to wait for a later row. */
+    void readRow(RowFields fields, RowStatistics statistics, TraceJob.Sink sink) throws IOException, RowFields.UnusableRowException;
 
-    /** No more rows: whatever waits is accounted for. */
-    default void finish(RowStatistics tally) {
-        // most wait for nothing
+    /** Called after the last row: counts the rows that still wait for another one. */
+    default void finish(RowStatistics statistics) {
+        // most formats have no waiting rows
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/RowStatistics.java
+++ b/lab/src/main/java/hookweir/lab/trace/RowStatistics.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where each row of a trace went: rows = used + ignored + all skipped. Nothing vanishes. */
+/** Counts what became of each row of a trace: rows = used + ignored + skipped. */
 final class RowStatistics {
     private static final int MAX_LOCATIONS = 3;
 
-    /** How often a reason held, and where first. */
+    /** How many rows were skipped for one reason, and the locations of the first ones. */
     static final class SkippedRows {
         long count;
         final List<String> locations = new ArrayList<>();
@@ -18,38 +18,38 @@
     long rows;
     long used;
     long ignored;
-    /** Runs of no length, kept at 1 ms. */
+    /** Runs of zero duration, which are recorded as 1 ms. */
     long adjusted;
-    /** Used rows whose job starts before one that an earlier row told. */
+    /** Used rows whose job starts before the job of an earlier row. */
     long outOfOrder;
     private final Map<SkipReason, SkippedRows> skipped = new EnumMap<>(SkipReason.class);
     private long maxStartUs = Long.MIN_VALUE;
 
-    /** The row at that place gives no job. */
-    void recordSkip(SkipReason why, String place) {
-        SkippedRows s = skipped.computeIfAbsent(why, w -> new SkippedRows());
-        s.count++;
-        if (s.locations.size() < MAX_LOCATIONS) {
-            s.locations.add(place);
+    /** Records that the row at the given location yields no job. */
+    void recordSkip(SkipReason reason, String location) {
+        SkippedRows skippedRows = skipped.computeIfAbsent(reason, key -> new SkippedRows());
+        skippedRows.count++;
+        if (skippedRows.locations.size() < MAX_LOCATIONS) {
+            skippedRows.locations.add(location);
         }
     }
 
-    /** A row tells a job's start: it is before one that an earlier row told. */
-    boolean isOutOfOrder(long atUs) {
-        boolean late = atUs < maxStartUs;
-        maxStartUs = Math.max(maxStartUs, atUs);
-        return late;
+    /** Whether a job's start is before that of an earlier row; remembers the latest start. */
+    boolean isOutOfOrder(long startUs) {
+        boolean isEarlier = startUs < maxStartUs;
+        maxStartUs = Math.max(maxStartUs, startUs);
+        return isEarlier;
     }
 
-    /** A used row tells a job's start. */
-    void recordStart(long atUs) {
-        outOfOrder += isOutOfOrder(atUs) ? 1 : 0;
+    /** Records the job start of a used row. */
+    void recordStart(long startUs) {
+        outOfOrder += isOutOfOrder(startUs) ? 1 : 0;
     }
 
-    /** A run's length as it is kept. */
-    long normalizeDuration(long us) {
-        if (us > 0) {
-            return us;
+    /** The duration to record for a run: 1 ms if it is not positive. */
+    long normalizeDuration(long durationUs) {
+        if (durationUs > 0) {
+            return durationUs;
         }
         adjusted++;
         return 1000;
@@ -59,8 +59,8 @@
         return skipped;
     }
 
-    /** All rows are accounted for. */
+    /** Whether every row is accounted for. */
     boolean isBalanced() {
-        return rows == used + ignored + skipped.values().stream().mapToLong(s -> s.count).sum();
+        return rows == used + ignored + skipped.values().stream().mapToLong(skippedRows -> skippedRows.count).sum();
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/SkipReason.java
+++ b/lab/src/main/java/hookweir/lab/trace/SkipReason.java
@@ -2,25 +2,25 @@
 
 import java.util.Locale;
 
-/** Why a row of a trace gives no job. */
+/** Why a row of a trace yields no job. */
 enum SkipReason {
     /** Too few columns. */
     MISSING_COLUMN,
-    /** A needed value is empty. */
+    /** A required value is empty. */
     MISSING_VALUE,
-    /** Not a number, where one must be. */
+    /** A value is not a number where one is required. */
     BAD_NUMBER,
-    /** Negative, or beyond what the format allows. */
+    /** A value is negative or beyond the limits of the format. */
     OUT_OF_RANGE,
-    /** An event that the format does not know. */
+    /** An event type that the format does not define. */
     UNKNOWN_EVENT,
     /** The end of a run that never started. */
     NO_START,
     /** A run without an end. */
     NO_END,
-    /** It began before the trace did. */
+    /** The run began before the trace. */
     BEFORE_TRACE,
-    /** It happened after the trace ended. */
+    /** The event occurred after the end of the trace. */
     AFTER_TRACE;
 
     @Override
--- a/lab/src/main/java/hookweir/lab/trace/TraceInspectCommand.java
+++ b/lab/src/main/java/hookweir/lab/trace/TraceInspectCommand.java
@@ -13,7 +13,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** The lab's trace-inspect: what a public trace holds, and which of its rows were left out and why. */
+/** The command trace-inspect: summarizes a public trace, and reports which of its rows were skipped and why. */
 public final class TraceInspectCommand extends Main.Command {
     private static final long US_PER_S = 1_000_000;
 
@@ -24,7 +24,7 @@
     @Option(name = "--json", usage = "prints one JSON object")
     private boolean json;
 
-    /** What the jobs, in order, come to. */
+    /** Accumulates totals over the jobs in order of start. */
     private static final class Summary implements TraceJob.Sink {
         private long jobs;
         private long firstStartUs;
@@ -49,17 +49,18 @@
     @Override
     protected int run() throws IOException {
         TraceReader reader = new TraceReader(files, format);
-        Summary sums = new Summary();
+        Summary summary = new Summary();
         try (JobSorter sorter = new JobSorter()) {
             reader.read(sorter);
-            sorter.forEachSorted(sums);
+            sorter.forEachSorted(summary);
         }
-        Map<String, Object> told = report(reader, sums);
+        Map<String, Object> values = report(reader, summary);
         if (json) {
-            System.out.println(new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(told));
+            System.out.println(new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(values));
         } else {
-            told.forEach((k, v) -> System.out.printf("%-14s %s%n", k, v));
-            reader.statistics().skipped().forEach((why, s) -> System.out.printf("skipped        %s %d, first at %s%n", why, s.count, String.join(", ", s.locations)));
+            values.forEach((k, v) -> System.out.printf("%-14s %s%n", k, v));
+            reader.statistics().skipped().forEach((reason, rows) -> System.out.printf("skipped        %s %d, first at %s%n", reason,
+                rows.count, String.join(", ", rows.locations)));
         }
         if (reader.truncation() != null) {
             System.err.println("hookweir-lab: " + reader.truncation());
@@ -68,26 +69,26 @@
         return 0;
     }
 
-    private Map<String, Object> report(TraceReader reader, Summary sums) {
-        RowStatistics t = reader.statistics();
+    private Map<String, Object> report(TraceReader reader, Summary summary) {
+        RowStatistics statistics = reader.statistics();
         Map<String, Object> skipped = new LinkedHashMap<>();
-        t.skipped().forEach((why, s) -> skipped.put(why.toString(), s.count));
+        statistics.skipped().forEach((reason, rows) -> skipped.put(reason.toString(), rows.count));
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("format", reader.format());
         out.put("files", files.size());
-        out.put("rows", t.rows);
-        out.put("used", t.used);
-        out.put("ignored", t.ignored);
-        out.put("jobs", sums.jobs);
+        out.put("rows", statistics.rows);
+        out.put("used", statistics.used);
+        out.put("ignored", statistics.ignored);
+        out.put("jobs", summary.jobs);
         out.put("skipped", skipped);
-        out.put("adjusted", t.adjusted);
-        out.put("out_of_order", t.outOfOrder);
-        out.put("from_us", sums.firstStartUs);
-        out.put("to_us", sums.lastStartUs);
-        out.put("span_us", sums.lastStartUs - sums.firstStartUs);
-        out.put("peak_per_s", sums.peakPerSecond);
-        out.put("mean_per_s", roundToSixDigits(sums.jobs / Math.max(1.0, (sums.lastStartUs - sums.firstStartUs) / (double) US_PER_S)));
-        out.put("work_s", roundToSixDigits(sums.totalDurationS));
+        out.put("adjusted", statistics.adjusted);
+        out.put("out_of_order", statistics.outOfOrder);
+        out.put("from_us", summary.firstStartUs);
+        out.put("to_us", summary.lastStartUs);
+        out.put("span_us", summary.lastStartUs - summary.firstStartUs);
+        out.put("peak_per_s", summary.peakPerSecond);
+        out.put("mean_per_s", roundToSixDigits(summary.jobs / Math.max(1.0, (summary.lastStartUs - summary.firstStartUs) / (double) US_PER_S)));
+        out.put("work_s", roundToSixDigits(summary.totalDurationS));
         return out;
     }
 
@@ -97,6 +98,6 @@
 
     @Override
     protected String description() {
-        return "What a public trace holds, and which of its rows were left out and why.\n  example: trace-inspect task_events/part-*.csv.gz";
+        return "Summarizes a public trace, and reports which of its rows were skipped and why.\n  example: trace-inspect task_events/part-*.csv.gz";
     }
 }
--- a/lab/src/main/java/hookweir/lab/trace/TraceReader.java
+++ b/lab/src/main/java/hookweir/lab/trace/TraceReader.java
@@ -17,7 +17,7 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.ZipException;
 
-/** Reads the files of one trace, plain or gzipped, row by row, and accounts for every row. */
+/** Reads the files of one trace, plain or gzipped, row by row, and counts what became of every row. */
 final class TraceReader {
     private static final int LOOK_AHEAD_BYTES = 8192;
     private static final int GZIP_MAGIC_1 = 0x1f;
@@ -30,7 +30,7 @@
     private RowReader format;
     private String truncation;
 
-    /** Reads these files; the format by its name, or "auto" for the one that the first row has. */
+    /** Creates a reader for the files, with a named format or "auto" to detect it from the first row. */
     TraceReader(List<Path> files, String format) throws IOException {
         this.files = files;
         this.format = switch (format) {
@@ -38,7 +38,7 @@
             case "google-2011" -> new Google2011();
             case "alibaba-2018" -> new Alibaba2018();
             case "azure-functions-2021" -> new Azure2021();
-            default -> throw new InvalidTraceException("--format: '" + format + "' is none of auto, google-2011, alibaba-2018, azure-functions-2021");
+            default -> throw new InvalidTraceException("--format: '" + format + "' is not one of auto, google-2011, alibaba-2018, azure-functions-2021");
         };
     }
 
@@ -46,28 +46,28 @@
         return statistics;
     }
 
-    /** The format taken. */
+    /** The name of the format in use. */
     String format() {
         return format.name();
     }
 
-    /** Where a file broke off in the midst of a row or of its compression, with the reason; null where none did. */
+    /** Where a file ends in the middle of a row or of its compressed data, with the reason; null if all files are complete. */
     String truncation() {
         return truncation;
     }
 
-    /** Reads all; jobs go on in the order in which their rows tell them. */
-    void read(TraceJob.Sink to) throws IOException {
-        for (Path f : files) {
-            readFile(f, to);
+    /** Reads all files; jobs reach the sink in the order of their rows. */
+    void read(TraceJob.Sink sink) throws IOException {
+        for (Path file : files) {
+            readFile(file, sink);
             if (truncation != null) {
-                break; // what follows would not be the same trace
+                break; // later files would not continue the trace without a gap
             }
         }
         format.finish(statistics);
     }
 
-    /** Remembers the last byte that was read. */
+    /** Remembers the last byte read. */
     private static final class LastByteInputStream extends FilterInputStream {
         private int last = '\n';
 
@@ -85,64 +85,64 @@
         }
     }
 
-    private void readFile(Path file, TraceJob.Sink to) throws IOException {
+    private void readFile(Path file, TraceJob.Sink sink) throws IOException {
         if (Files.isDirectory(file)) {
-            throw new InvalidTraceException(file + ": is a directory; name the files in it");
+            throw new InvalidTraceException(file + ": is a directory; specify the files in it");
         }
-        long before = statistics.rows;
-        boolean header = false;
-        String place = file.toString();
+        long rowsBefore = statistics.rows;
+        boolean headerRead = false;
+        String location = file.toString();
         try (InputStream plain = open(file); LastByteInputStream in = new LastByteInputStream(plain);
                 CsvReader<CsvRecord> csv = CsvReader.builder().allowMissingFields(true).allowExtraFields(true)
                     .ofCsvRecord(new InputStreamReader(in, StandardCharsets.UTF_8))) {
-            CsvRecord held = null; // the last row is known to be the last only when there is none after it
+            CsvRecord pending = null; // a row is processed once the next one is read, as the last row may be truncated
             try {
                 for (CsvRecord row : csv) {
                     if (format == null) {
                         format = detectFormat(file, row);
                     }
-                    if (format.hasHeader() && !header) {
-                        header = true;
+                    if (format.hasHeader() && !headerRead) {
+                        headerRead = true;
                         format.checkHeader(new RowFields(row, file.toString()));
                         continue;
                     }
-                    if (held != null) {
-                        readRow(held, file, to);
+                    if (pending != null) {
+                        readRow(pending, file, sink);
                     }
-                    held = row;
-                    place = file + ":" + row.getStartingLineNumber();
+                    pending = row;
+                    location = file + ":" + row.getStartingLineNumber();
                 }
-                if (held != null && in.last != '\n' && in.last != '\r' && format.hasTooFewColumns(held.getFieldCount())) {
-                    truncation = place + ": the file breaks off in the midst of a row";
-                } else if (held != null) {
-                    readRow(held, file, to);
+                if (pending != null && in.last != '\n' && in.last != '\r' && format.hasTooFewColumns(pending.getFieldCount())) {
+                    truncation = location + ": the file is truncated in the middle of a row";
+                } else if (pending != null) {
+                    readRow(pending, file, sink);
                 }
             } catch (UncheckedIOException | CsvParseException e) {
-                Throwable why = e.getCause() == null ? e : e.getCause();
-                if (held != null) {
-                    readRow(held, file, to); // whole, as another began after it
+                Throwable cause = e.getCause() == null ? e : e.getCause();
+                if (pending != null) {
+                    readRow(pending, file, sink); // this row is complete, as the reader had moved on to the next one
                 }
-                if (!(why instanceof EOFException || why instanceof ZipException)) {
-                    throw new InvalidTraceException("after " + place + ": " + why.getMessage());
+                if (!(cause instanceof EOFException || cause instanceof ZipException)) {
+                    throw new InvalidTraceException("after " + location + ": " + cause.getMessage());
                 }
-                truncation = place + ": the compressed file breaks off after this row (" + why.getMessage() + ")";
+                truncation = location + ": the compressed file is truncated after this row (" + cause.getMessage() + ")";
             }
         }
-        if (statistics.rows == before && truncation == null) {
-            throw new InvalidTraceException(file + ": holds no rows");
+        if (statistics.rows == rowsBefore && truncation == null) {
+            throw new InvalidTraceException(file + ": contains no rows");
         }
     }
 
-    private void readRow(CsvRecord row, Path file, TraceJob.Sink to) throws IOException {
+    private void readRow(CsvRecord row, Path file, TraceJob.Sink sink) throws IOException {
         statistics.rows++;
-        RowFields f = new RowFields(row, file.toString());
+        RowFields fields = new RowFields(row, file.toString());
         try {
-            if (format.hasTooFewColumns(f.columnCount())) {
+            if (format.hasTooFewColumns(fields.columnCount())) {
                 throw new RowFields.UnusableRowException(SkipReason.MISSING_COLUMN);
             }
-            format.readRow(f, statistics, to);
+            format.readRow(fields, statistics, sink);
         } catch (RowFields.UnusableRowException e) {
-            statistics.recordSkip(e.reason, f.location());
+            statistics.recordSkip(e.reason, fields.location());
         }
     }
 
@@ -156,30 +156,30 @@
                 in = new BufferedInputStream(new GZIPInputStream(in, 1 << 16), 1 << 16);
             } catch (IOException e) {
                 in.close();
-                throw new InvalidTraceException(file + ": its compression is broken: " + e.getMessage());
+                throw new InvalidTraceException(file + ": invalid gzip data: " + e.getMessage());
             }
         }
         in.mark(LOOK_AHEAD_BYTES);
-        int marks = 0;
+        int bomBytes = 0;
         for (int i = 0; i < LOOK_AHEAD_BYTES; i++) {
             int b;
             try {
                 b = in.read();
             } catch (EOFException | ZipException e) {
-                break; // broken off early: the rows before that are read all the same
+                break; // truncated early: the rows before the break are still read
             }
             if (b < 0) {
                 break;
             }
             if (b == 0) {
                 in.close();
-                throw new InvalidTraceException(file + ": is no text (a zero byte at " + i + ")");
+                throw new InvalidTraceException(file + ": is not a text file (zero byte at offset " + i + ")");
             }
-            marks |= i == 0 && b == 0xef || i == 1 && b == 0xbb || i == 2 && b == 0xbf ? 1 << i : 0;
+            bomBytes |= i == 0 && b == 0xef || i == 1 && b == 0xbb || i == 2 && b == 0xbf ? 1 << i : 0;
         }
         in.reset();
-        if (marks == 0b111) {
-            in.skipNBytes(3); // the byte-order mark
+        if (bomBytes == 0b111) {
+            in.skipNBytes(3); // skips the byte-order mark
         }
         return in;
     }
@@ -195,7 +195,7 @@
         if (row.getFieldCount() == ALIBABA_COLUMNS) {
             return new Alibaba2018();
         }
-        throw new InvalidTraceException(file + ":" + row.getStartingLineNumber() + ": no known format has such a row (" + row.getFieldCount()
-            + " columns); name one by --format");
+        throw new InvalidTraceException(file + ":" + row.getStartingLineNumber() + ": the row matches no known format (" + row.getFieldCount()
+            + " columns); specify one with --format");
     }
 }
--- a/lab/src/test/java/hookweir/lab/net/PortsTest.java
+++ b/lab/src/test/java/hookweir/lab/net/PortsTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A port that waits for its process is nobody else's meanwhile. */
+/** An allocated port is given to no other process before the one it is meant for has bound it. */
 final class PortsTest {
     @Test
     void portsAreUniqueAndBelowTheEphemeralRange() throws IOException {
@@ -22,7 +22,7 @@
         assertEquals(500, given.size());
         for (int i = 0; i < 50; i++) {
             try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                assertTrue(any.getLocalPort() >= Ports.END_PORT, "drawn by the system: " + any.getLocalPort());
+                assertTrue(any.getLocalPort() >= Ports.END_PORT, "ephemeral port in the allocated range: " + any.getLocalPort());
             }
         }
     }
@@ -30,8 +30,8 @@
     @Test
     void portInUseIsSkipped() throws IOException {
         int next = Ports.allocate() + 1;
-        try (ServerSocket held = new ServerSocket(next < Ports.END_PORT ? next : Ports.FIRST_PORT, 1, InetAddress.getLoopbackAddress())) {
-            assertNotEquals(held.getLocalPort(), Ports.allocate());
+        try (ServerSocket occupied = new ServerSocket(next < Ports.END_PORT ? next : Ports.FIRST_PORT, 1, InetAddress.getLoopbackAddress())) {
+            assertNotEquals(occupied.getLocalPort(), Ports.allocate());
         }
     }
 }
--- a/lab/src/test/java/hookweir/lab/trace/TraceReaderTest.java
+++ b/lab/src/test/java/hookweir/lab/trace/TraceReaderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Every row of a trace is used, ignored or skipped for a reason; broken files say where they are. */
+/** Every row of a trace is used, ignored or skipped for a reason; errors in invalid files name the location. */
 final class TraceReaderTest {
     @TempDir
     Path directory;
@@ -35,13 +35,13 @@
     private TraceReader read(String format, Path... files) throws IOException {
         TraceReader r = new TraceReader(List.of(files), format);
         r.read(jobs::add);
-        assertTrue(r.statistics().isBalanced(), "rows are used, ignored or skipped");
+        assertTrue(r.statistics().isBalanced(), "rows != used + ignored + skipped");
         return r;
     }
 
     private static Map<String, Long> skipped(TraceReader r) {
         Map<String, Long> out = new TreeMap<>();
-        r.statistics().skipped().forEach((why, s) -> out.put(why.toString(), s.count));
+        r.statistics().skipped().forEach((reason, skippedRows) -> out.put(reason.toString(), skippedRows.count));
         return out;
     }
 
@@ -51,10 +51,10 @@
 
     @Test
     void googleRunsLastFromScheduleToEndEvent() throws IOException {
-        String day = task(0, 1, 0, 1) + task(100, 2, 0, 0) + task(200, 2, 0, 1) + task(150, 3, 0, 1) + task(700, 2, 0, 4) + task(160, 3, 0, 5)
+        String rows = task(0, 1, 0, 1) + task(100, 2, 0, 0) + task(200, 2, 0, 1) + task(150, 3, 0, 1) + task(700, 2, 0, 4) + task(160, 3, 0, 5)
             + task(800, 4, 0, 2) + task(900, 1, 0, 4) + task(950, 5, 1, 1) + task("", 5, 0, 1) + task("x", 5, 0, 1) + task(-4, 5, 0, 1)
             + task(960, 5, 0, 9) + task(Long.MAX_VALUE, 5, 1, 4) + task(970, 6, 0, 1) + task(970, 6, 0, 4) + "980,,7\n";
-        TraceReader r = read("auto", file("g.csv", day));
+        TraceReader r = read("auto", file("g.csv", rows));
         assertEquals("google-2011", r.format());
         assertEquals(List.of(200L, 150L, 970L), jobs.stream().map(TraceJob::startUs).toList());
         assertEquals(List.of(500L, 10L, 1000L), jobs.stream().map(TraceJob::durationUs).toList());
@@ -78,7 +78,7 @@
         assertEquals(Map.of("before-trace", 1L, "missing-value", 1L, "no-end", 1L, "out-of-range", 1L), skipped(r));
     }
 
-    /** A byte-order mark, CRLF, quotes with commas and line ends, gzip, and two files: the same as plain. */
+    /** A byte-order mark, CRLF, quoted commas and line breaks, gzip and several files make no difference. */
     @Test
     void azureRowsAreReadInAnyCsvEncoding() throws IOException {
         String text = "\ufeffapp,func,end_timestamp,duration\r\n\"a,\n1\",f,10.5,0.25\r\n\r\nb,g,3,5\r\nb,g,9.000001,0\r\n";
@@ -100,10 +100,10 @@
     void truncatedFileIsReadUpToTheBreak() throws IOException {
         String text = task(200, 2, 0, 1) + task(700, 2, 0, 4);
         TraceReader r = read("google-2011", file("cut.csv", text + "800,,9,0"));
-        assertEquals(directory.resolve("cut.csv") + ":3: the file breaks off in the midst of a row", r.truncation());
+        assertEquals(directory.resolve("cut.csv") + ":3: the file is truncated in the middle of a row", r.truncation());
         assertEquals(2, r.statistics().rows);
         assertEquals(1, jobs.size());
-        assertNull(read("google-2011", file("whole.csv", text.strip())).truncation()); // the last line's end may be missing
+        assertNull(read("google-2011", file("whole.csv", text.strip())).truncation()); // the last line may lack its line end
 
         StringBuilder many = new StringBuilder();
         Random random = new Random(5);
@@ -116,7 +116,8 @@
         }
         Path half = Files.write(directory.resolve("half.gz"), Arrays.copyOf(zipped.toByteArray(), zipped.size() / 2));
         TraceReader broken = read("google-2011", half);
-        assertTrue(broken.truncation().contains("half.gz:") && broken.truncation().contains("breaks off"), broken.truncation());
+        assertTrue(broken.truncation().contains("half.gz:") && broken.truncation().contains("the compressed file is truncated after this row"),
+            broken.truncation());
         assertTrue(broken.statistics().rows > 500 && broken.statistics().rows < 2999, "rows " + broken.statistics().rows);
     }
 
@@ -124,8 +125,9 @@
     void invalidFilesAreRejectedWithAReason() throws IOException {
         Path zero = Files.write(directory.resolve("bin"), new byte[] {'1', ',', 0, 4});
         Path gz = Files.write(directory.resolve("bad.gz"), new byte[] {0x1f, (byte) 0x8b, 9, 9, 9});
-        for (Object[] c : new Object[][] {{directory, "is a directory"}, {file("empty", ""), "holds no rows"}, {zero, "is no text (a zero byte at 2)"},
-            {gz, "its compression is broken"}, {file("odd", "a,b\n1,2\n"), ":1: no known format has such a row (2 columns)"}}) {
+        for (Object[] c : new Object[][] {{directory, "is a directory"}, {file("empty", ""), "contains no rows"},
+            {zero, "is not a text file (zero byte at offset 2)"}, {gz, "invalid gzip data"},
+            {file("odd", "a,b\n1,2\n"), ":1: the row matches no known format (2 columns)"}}) {
             IOException e = assertThrows(IOException.class, () -> read("auto", (Path) c[0]));
             assertTrue(e.getMessage().startsWith(c[0].toString()) && e.getMessage().contains((String) c[1]), e.getMessage());
         }
@@ -134,7 +136,7 @@
         assertTrue(assertThrows(IOException.class, () -> read("excel", directory)).getMessage().startsWith("--format: 'excel'"));
     }
 
-    /** Sorted outside memory as in it, whatever the order of the rows. */
+    /** The order is the same with and without temporary files, whatever the order of the rows. */
     @Test
     void jobsAreSortedInBoundedMemory() throws IOException {
         Random random = new Random(3);
@@ -142,19 +144,19 @@
         for (int i = 0; i < 1000; i++) {
             all.add(new TraceJob(random.nextInt(200), 1 + random.nextInt(50), random.nextInt(9), 0));
         }
-        List<TraceJob> want = new ArrayList<>(all);
-        Collections.sort(want);
+        List<TraceJob> expected = new ArrayList<>(all);
+        Collections.sort(expected);
         for (int inMemory : new int[] {64, 5000}) {
             Collections.shuffle(all, random);
-            List<TraceJob> got = new ArrayList<>();
-            try (JobSorter s = new JobSorter(inMemory)) {
+            List<TraceJob> actual = new ArrayList<>();
+            try (JobSorter sorter = new JobSorter(inMemory)) {
                 for (TraceJob j : all) {
-                    s.accept(j);
+                    sorter.accept(j);
                 }
-                assertEquals(1000, s.count());
-                s.forEachSorted(got::add);
+                assertEquals(1000, sorter.count());
+                sorter.forEachSorted(actual::add);
             }
-            assertEquals(want, got);
+            assertEquals(expected, actual);
         }
     }
 }
