--- a/core/src/test/java/hookweir/room/ResourceBudgetTest.java
+++ b/core/src/test/java/hookweir/room/ResourceBudgetTest.java
@@ -26,7 +26,8 @@
 
     private static ResourceBudget newBudget(long bytes, int jobs) {
         ResourceBudget budget = new ResourceBudget(bytes, jobs);
-        budget.setClasses(List.of(requestClass(Idempotency.NON_IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 5), requestClass(Idempotency.KEYED, 1)));
+        budget.setClasses(List.of(requestClass(Idempotency.NON_IDEMPOTENT, 1), requestClass(Idempotency.IDEMPOTENT, 1),
+            requestClass(Idempotency.IDEMPOTENT, 5), requestClass(Idempotency.KEYED, 1)));
         return budget;
     }
 
--- a/lab/src/main/java/hookweir/lab/lives/PausableClient.java
+++ b/lab/src/main/java/hookweir/lab/lives/PausableClient.java
@@ -104,7 +104,8 @@
             }
             int status = Integer.parseInt(response.startLine().split(" ")[1]);
             String retryAfter = BlockingHttp.header(response.head(), "Retry-After");
-            witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(response.body())).retryAfter(retryAfter == null ? "" : retryAfter));
+            witness.accept(Event.of(Type.ANSWER, id, "", "").withResponse(status, Checksums.body(response.body())).retryAfter(retryAfter == null
+                ? "" : retryAfter));
             outcome = status == 200 ? Outcome.SERVED : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
         } catch (SocketTimeoutException e) {
             witness.accept(Event.of(Type.GONE, id, "", "")); // no response by 0.3 s after the deadline
--- a/lab/src/main/java/hookweir/lab/lives/RandomStops.java
+++ b/lab/src/main/java/hookweir/lab/lives/RandomStops.java
@@ -156,8 +156,8 @@
     }
 
     private LoadGenerator startClients(Reactor clientReactor, int port, String kind, Recorder witness) {
-        LoadGenerator c = new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(clientsPerClass, 0, 16, PausableClient.DEADLINE_MS, kind),
-            kind.substring(0, 1) + "-", witness);
+        LoadGenerator c = new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(clientsPerClass, 0, 16,
+            PausableClient.DEADLINE_MS, kind), kind.substring(0, 1) + "-", witness);
         c.start();
         return c;
     }
--- a/lab/src/main/java/hookweir/lab/lives/Scenario.java
+++ b/lab/src/main/java/hookweir/lab/lives/Scenario.java
@@ -48,7 +48,8 @@
     static RuleLimits terms() {
         RuleLimits brief = RuleLimits.defaults();
         return new RuleLimits(true, Set.of("billing-post"), Map.of("load-order", new RuleLimits.KeyedClass(RuleLimits.Scope.ZONE, 40_000)), brief.maxAttempts(),
-            brief.drainMs(), brief.slackMs(), brief.noticeDelayMs(), brief.termGraceMs(), brief.killDelayMs(), brief.coldFactor(), brief.coldWindowMs(), RECORDER_RESOLUTION_MS);
+            brief.drainMs(), brief.slackMs(), brief.noticeDelayMs(), brief.termGraceMs(), brief.killDelayMs(), brief.coldFactor(),
+                brief.coldWindowMs(), RECORDER_RESOLUTION_MS);
     }
 
     /** The configuration of a scheduler with three job classes, one for each kind of repeat semantics, and two data centres. */
--- a/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
+++ b/lab/src/main/java/hookweir/lab/lives/SchedulerProcess.java
@@ -61,7 +61,8 @@
     static SchedulerProcess start(Path root, Path folder, ListeningSocketHolder socketHolder, int port, int number, boolean debugged,
             EventSink witness, Map<String, String> extraEnvironment) throws IOException {
         int debugPort = debugged ? Ports.allocate() : 0;
-        String command = debugged ? TargetProcess.runCommand(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ") : TargetProcess.runCommand(root);
+        String command = debugged ? TargetProcess.runCommand(root).replace(" -jar ", " " + Debugger.jvmFlag(debugPort) + " -jar ")
+            : TargetProcess.runCommand(root);
         Map<String, String> environment = new TreeMap<>(Map.of("RELAY_CONFIG", folder.resolve("config.json").toString(), "TMPDIR", folder.toString(),
             "RELAY_LISTEN", "127.0.0.1:" + port, "RELAY_ADMIN_ADDR", "127.0.0.1:" + Ports.allocate()));
         environment.putAll(extraEnvironment);
--- a/lab/src/main/java/hookweir/lab/lives/Soak.java
+++ b/lab/src/main/java/hookweir/lab/lives/Soak.java
@@ -112,8 +112,8 @@
                 Files.writeString(folder.resolve("config.json"), Scenario.config(fleet.serveWorkerList(), fleet.workerListJson()));
                 scheduler = start(1);
                 for (String kind : List.of("live-status", "billing-post")) {
-                    clients.add(new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(plan.clients(), 0, 16, PausableClient.DEADLINE_MS, kind),
-                        kind.charAt(0) + "-", witness));
+                    clients.add(new LoadGenerator(clientReactor, StubWorkers.loopbackAddress(port), new LoadGenerator.Workload(plan.clients(), 0, 16,
+                        PausableClient.DEADLINE_MS, kind), kind.charAt(0) + "-", witness));
                 }
                 clients.forEach(LoadGenerator::start);
                 Thread.sleep(plan.loadMs());
--- a/lab/src/main/java/hookweir/lab/scale/RealRun.java
+++ b/lab/src/main/java/hookweir/lab/scale/RealRun.java
@@ -47,8 +47,8 @@
         long softDeadlineMs = Math.max(MIN_SOFT_DEADLINE_MS, (long) SOFT_DEADLINE_FACTOR * serviceMs);
         LoadGenerator.Workload plan = new LoadGenerator.Workload(CLIENT_COUNT, rate, HttpMessages.JOB_BODY_BYTES, 2 * softDeadlineMs, REQUEST_CLASS);
         List<RealRow> rows = new ArrayList<>();
-        LoadTestHarness.Config setting = new LoadTestHarness.Config(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES, softDeadlineMs, MAX_DESCRIPTORS,
-            "pull", "", false, null);
+        LoadTestHarness.Config setting = new LoadTestHarness.Config(root.toString(), -1, workers, serviceMs, HttpMessages.RESULT_BYTES,
+            softDeadlineMs, MAX_DESCRIPTORS, "pull", "", false, null);
         try (LoadTestHarness bench = new LoadTestHarness(setting)) {
             LoadGenerator clients = bench.startGenerator(plan);
             for (Span span : Span.values()) {
@@ -60,7 +60,8 @@
         ScaleReport.writeJson(out, String.format(Locale.ROOT, "real-%d-%.4g", workers, rate), rows);
     }
 
-    private static RealRow measure(LoadTestHarness bench, LoadGenerator clients, LoadGenerator.Workload plan, Span span, int workers) throws IOException, InterruptedException {
+    private static RealRow measure(LoadTestHarness bench, LoadGenerator clients, LoadGenerator.Workload plan, Span span,
+            int workers) throws IOException, InterruptedException {
         long connections = bench.stubWorkers().connections();
         long bytes = bench.stubWorkers().probeBytes();
         long probes = bench.stubWorkers().probes();
@@ -70,7 +71,8 @@
         long newProbes = bench.stubWorkers().probes() - probes;
         return new RealRow(span.name().toLowerCase(Locale.ROOT), span.seconds, workers, plan.jobsPerSecond(), step.goodput(), newProbes / seconds,
             (bench.stubWorkers().connections() - connections) / Math.max(1, step.goodput() * seconds),
-            (bench.stubWorkers().probeBytes() - bytes) / (double) Math.max(1, newProbes), PERCENT * (bench.target().cpuSeconds() - cpuS) / seconds, step.residentMb(),
+            (bench.stubWorkers().probeBytes() - bytes) / (double) Math.max(1, newProbes), PERCENT * (bench.target().cpuSeconds() - cpuS) / seconds,
+                step.residentMb(),
             step.refusedShare(), step.failed(), step.p50(), step.p99());
     }
 }
--- a/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
+++ b/lab/src/test/java/hookweir/lab/lives/SyscallFaultsTest.java
@@ -82,7 +82,8 @@
                 Thread.sleep(RECOVERY_MS);
                 int served = 0;
                 for (int i = 0; i < LAST_REQUESTS; i++) {
-                    served += new PausableClient(port, "last-" + i, "live-status", null, EventSink.NONE).awaitOutcome() == PausableClient.Outcome.SERVED ? 1 : 0;
+                    served += new PausableClient(port, "last-" + i, "live-status", null, EventSink.NONE).awaitOutcome()
+                        == PausableClient.Outcome.SERVED ? 1 : 0;
                 }
                 assertEquals(LAST_REQUESTS, served, "after " + requestCount + " requests under faults: " + scheduler.log());
                 assertTrue(scheduler.isAlive());
--- a/node/src/main/java/hookweir/net/AttemptSender.java
+++ b/node/src/main/java/hookweir/net/AttemptSender.java
@@ -19,8 +19,8 @@
     private final PendingRequests pending;
     private final Contract.Dispatcher module;
 
-    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, WorkerConnectionPool workerConnections, PendingRequests pending,
-            Contract.Dispatcher module) {
+    AttemptSender(SocketHost host, Loop loop, Invariants invariants, EventLog events, ActiveSettings active, WorkerConnectionPool workerConnections,
+            PendingRequests pending, Contract.Dispatcher module) {
         this.host = host;
         this.loop = loop;
         this.invariants = invariants;
--- a/node/src/main/java/hookweir/net/Membership.java
+++ b/node/src/main/java/hookweir/net/Membership.java
@@ -50,8 +50,8 @@
     /**
      * @param onReady runs once, when requests may be sent
      */
-    Membership(Config config, Loop loop, Connector connector, Invariants invariants, EventLog events, WorkerConnectionPool workerConnections, Contract.Dispatcher module,
-            Runnable onReady) {
+    Membership(Config config, Loop loop, Connector connector, Invariants invariants, EventLog events, WorkerConnectionPool workerConnections,
+            Contract.Dispatcher module, Runnable onReady) {
         this.loop = loop;
         this.invariants = invariants;
         this.events = events;
--- a/node/src/main/java/hookweir/net/StatusReporter.java
+++ b/node/src/main/java/hookweir/net/StatusReporter.java
@@ -22,8 +22,8 @@
     private final Contract.Dispatcher module;
     private final Membership membership;
 
-    StatusReporter(Loop loop, Invariants invariants, Metrics metrics, ResourceBudget budget, HttpServer server, WorkerConnectionPool workerConnections, PendingRequests pending,
-            Contract.Dispatcher module, Membership membership) {
+    StatusReporter(Loop loop, Invariants invariants, Metrics metrics, ResourceBudget budget, HttpServer server,
+            WorkerConnectionPool workerConnections, PendingRequests pending, Contract.Dispatcher module, Membership membership) {
         this.loop = loop;
         this.invariants = invariants;
         this.metrics = metrics;
@@ -42,8 +42,8 @@
     }
 
     private void logRegularly() {
-        Log.line("held=" + pending.size() + " ingress=" + server.connectionCount() + " egress=" + workerConnections.connectionCount() + " bytes=" + budget.heldBytes()
-            + " timers=" + loop.timerCount() + " " + invariants);
+        Log.line("held=" + pending.size() + " ingress=" + server.connectionCount() + " egress=" + workerConnections.connectionCount() + " bytes="
+            + budget.heldBytes() + " timers=" + loop.timerCount() + " " + invariants);
         loop.schedule(LOG_INTERVAL_US, this::logRegularly);
     }
 
--- a/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
+++ b/node/src/test/java/hookweir/net/DisconnectedClientsTest.java
@@ -79,7 +79,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void jobWaitingForReuseDelayIsNotSent(boolean disconnectRead) throws Exception {
-        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect(); Socket leaving = node.connect()) {
+        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect();
+                Socket leaving = node.connect()) {
             node.freezeClock();
             send(client, job("s1"));
             try (Socket idleConnection = node.workerListener.accept()) {
@@ -121,7 +122,8 @@
                 node.sendCallback("r1", "s-02", "done");
                 receive(client);
                 node.resumeClock(100_000); // past the reuse delay of the idle connection: a job could be sent at once
-                sendListLine(watch, "{'version':9,'full':false,'servers':[" + secondWorkerEntry(node, listener, "DRAINING") + "," + node.workerEntry("SERVING") + "]}");
+                sendListLine(watch, "{'version':9,'full':false,'servers':[" + secondWorkerEntry(node, listener, "DRAINING") + ","
+                    + node.workerEntry("SERVING") + "]}");
                 node.awaitCount("list updates", 3);
                 send(leaving, job("r2"));
                 try (Socket first = node.workerListener.accept()) {
@@ -164,7 +166,8 @@
     /** The client's job waits as no worker serves; its disconnect is still unread when the next try is due and an idle connection is free. */
     @Test
     void jobWaitingForAWorkerIsNotSent() throws Exception {
-        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect(); Socket leaving = node.connect()) {
+        try (TestNode node = TestNode.withPushedList(); Socket watch = node.acceptListCallAndWatch(); Socket client = node.connect();
+                Socket leaving = node.connect()) {
             send(client, job("h1"));
             try (Socket idleConnection = node.workerListener.accept()) {
                 receive(idleConnection);
--- a/node/src/test/java/hookweir/net/FailuresTest.java
+++ b/node/src/test/java/hookweir/net/FailuresTest.java
@@ -296,7 +296,8 @@
     void malformedDeadlinesAreRejected() throws Exception {
         try (TestNode node = new TestNode("read_like")) {
             for (String odd : List.of("1e3", "-5", "0x10", "12.5", "soon", "1d", "99999999999")) {
-                assertTrue(node.request(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n", "")).startsWith("HTTP/1.1 400"), odd);
+                assertTrue(node.request(post("/api", "Req-Id: f1\r\nReq-Kind: render\r\nReq-Deadline-Ms: " + odd + "\r\n",
+                    "")).startsWith("HTTP/1.1 400"), odd);
             }
         }
     }
